--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -27,7 +27,7 @@
 };
 
 /// What callers are told to wait when an endpoint is expected back soon.
-pub const COME_BACK: Duration = Duration::from_millis(1_000);
+pub const ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 /// Soonest and latest that a caller is told to come back that waited in vain for memory: sooner it would
 /// meet the same runs, later it has often left.
 const SOONEST_BACK: Duration = Duration::from_millis(300);
@@ -53,7 +53,7 @@
 
 /// An endpoint for a request, and the request's part in its load.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Assignment {
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
     /// To be given back when the request ends there.
@@ -70,7 +70,7 @@
     /// Version of the list.
     pub version: u64,
     /// Whether rows that are missing are gone.
-    pub whole: bool,
+    pub is_complete: bool,
     /// The rows.
     pub rows: Vec<Row>,
 }
@@ -92,9 +92,9 @@
 #[derive(Clone, Debug)]
 pub struct Pair {
     /// Where its tokens are made.
-    pub run: Place,
+    pub run: Assignment,
     /// Where its prompt is read; without one, where its tokens are made.
-    pub reader: Option<Place>,
+    pub reader: Option<Assignment>,
 }
 
 /// Whom to answer, and how.
@@ -140,7 +140,7 @@
     }
 
     /// Puts a configuration in force, unless it is older than the one that is; says whether it did.
-    pub fn adopt(&mut self, now: Time, order: u64, catalog: Arc<Catalog>) -> bool {
+    pub fn apply_catalog(&mut self, now: Time, order: u64, catalog: Arc<Catalog>) -> bool {
         if self.catalog.is_some() && order <= self.staleness.own().configuration {
             return false;
         }
@@ -151,22 +151,22 @@
     }
 
     /// Takes a list of endpoints that the store gave.
-    pub fn list(&mut self, now: Time, listing: Listing) -> Vec<Change> {
+    pub fn apply_listing(&mut self, now: Time, listing: Listing) -> Vec<Change> {
         self.directory.heard(now);
         self.take_listing(now, listing)
     }
 
     /// Takes the list of another entry, whose newest row is `newest`.
-    pub fn told(&mut self, now: Time, mut listing: Listing, newest: u64) -> Vec<Change> {
+    pub fn apply_peer_listing(&mut self, now: Time, mut listing: Listing, newest: u64) -> Vec<Change> {
         // What the other one leaves out may only have lapsed while the store was away.
-        listing.whole &= !self.directory.is_known();
+        listing.is_complete &= !self.directory.is_known();
         let changes = self.take_listing(now, listing);
         self.staleness.read_endpoints(now, newest);
         changes
     }
 
     fn take_listing(&mut self, now: Time, listing: Listing) -> Vec<Change> {
-        let changes = if listing.whole {
+        let changes = if listing.is_complete {
             self.directory.replace(now, listing.version, listing.rows)
         } else {
             self.directory.update(now, listing.version, listing.rows)
@@ -195,17 +195,17 @@
     }
 
     /// The store cannot be reached.
-    pub fn store_lost(&mut self) {
+    pub fn mark_store_unreachable(&mut self) {
         self.directory.lost();
     }
 
     /// Takes an entry that the store names.
-    pub fn member(&mut self, now: Time, member: Member) {
+    pub fn add_member(&mut self, now: Time, member: Member) {
         self.peers.named(now, member);
     }
 
     /// Takes another entry's digest.
-    pub fn heard(&mut self, now: Time, digest: &Digest, from: SocketAddr) {
+    pub fn apply_digest(&mut self, now: Time, digest: &Digest, from: SocketAddr) {
         if !self.peers.heard(now, digest, from) {
             return;
         }
@@ -220,12 +220,12 @@
     }
 
     /// Whether the others should hear of this entry before its next digest is due.
-    pub fn is_urgent(&self) -> bool {
+    pub fn is_digest_urgent(&self) -> bool {
         self.allowance.is_urgent()
     }
 
     /// What this entry tells the others, and whom.
-    pub fn digest(&mut self, now: Time) -> (Digest, Vec<Member>) {
+    pub fn next_digest(&mut self, now: Time) -> (Digest, Vec<Member>) {
         self.serial += 1;
         let Totals { spent, left } = self.allowance.take_totals(now);
         let own = Member { name: self.identity.name.clone(), address: self.identity.address };
@@ -252,7 +252,7 @@
     }
 
     /// What passes by itself with time; call it several times a second.
-    pub fn settle(&mut self, now: Time) -> (Vec<Change>, Vec<Arc<str>>) {
+    pub fn tick(&mut self, now: Time) -> (Vec<Change>, Vec<Arc<str>>) {
         let gone = self.peers.settle(now);
         for peer in &gone {
             self.allowance.forget(peer);
@@ -285,14 +285,14 @@
     }
 
     /// Gives back what a request was charged that nobody ran.
-    pub fn give_back(&mut self, admission: &Admission) {
+    pub fn refund(&mut self, admission: &Admission) {
         if let Some(customer) = &admission.customer {
             self.allowance.give_back(&customer.name, admission.tokens);
         }
     }
 
     /// Whether a request may be sent to a further endpoint; pays for it if so.
-    pub fn retry(&mut self, now: Time, service: &Arc<str>) -> bool {
+    pub fn acquire_retry(&mut self, now: Time, service: &Arc<str>) -> bool {
         self.budget.extra(now, service, self.peers.count())
     }
 
@@ -303,14 +303,19 @@
     }
 
     /// An endpoint for a whole request.
-    pub fn whole(&mut self, now: Time, service: &str, avoid: &[Arc<str>]) -> Result<Place, Refusal> {
+    pub fn place_whole(
+        &mut self,
+        now: Time,
+        service: &str,
+        avoid: &[Arc<str>],
+    ) -> Result<Assignment, Refusal> {
         let found = self.view(now).whole(service, avoid);
         let share = Share { running: 1, ..Share::default() };
         found.map(|endpoint| self.take(now, endpoint, share, None)).ok_or_else(no_endpoint)
     }
 
     /// A further endpoint that reads a prompt; none if none can.
-    pub fn prefill(&mut self, now: Time, prompt: &Prompt) -> Option<Place> {
+    pub fn place_prefill(&mut self, now: Time, prompt: &Prompt) -> Option<Assignment> {
         let Prompt { service, tokens, aim, zone, avoid } = prompt;
         let aim = declared(*aim);
         let Reader::Endpoint(endpoint) = self.view(now).prefill(service, *tokens, aim, zone, avoid) else {
@@ -320,7 +325,7 @@
     }
 
     /// Lines a completion up for a decode endpoint; whoever is placed then comes out of [`Self::pump`].
-    pub fn line_up(&mut self, now: Time, completion: Completion, tag: T) {
+    pub fn enqueue(&mut self, now: Time, completion: Completion, tag: T) {
         let forecast = self.forecasts.service(&completion.service);
         let engine = self.engine(&completion.service);
         if let Some(engine) = &engine {
@@ -337,7 +342,7 @@
     }
 
     /// Takes what a request showed of an endpoint, unless that is gone: nobody would forget it again.
-    pub fn observed(&mut self, now: Time, endpoint: &Endpoint, observation: Observation) {
+    pub fn record_observation(&mut self, now: Time, endpoint: &Endpoint, observation: Observation) {
         if self.directory.get(&endpoint.id).is_none() {
             return;
         }
@@ -346,7 +351,7 @@
     }
 
     /// Takes events that a run has made.
-    pub fn made(&mut self, lease: &Lease, service: &str, events: u64) {
+    pub fn record_events(&mut self, lease: &Lease, service: &str, events: u64) {
         let event_tokens = self.forecasts.service(service).lengths().event_tokens;
         self.loads.made(lease, (events as f64 * event_tokens) as u64);
     }
@@ -362,13 +367,13 @@
     }
 
     /// When a caller should come back that waited in vain for memory of a service.
-    pub fn memory_free_after(&self, service: &str) -> Duration {
+    pub fn memory_retry_after(&self, service: &str) -> Duration {
         let half = self.forecasts.service(service).half_run();
-        half.map_or(COME_BACK, |half| half.clamp(SOONEST_BACK, LATEST_BACK))
+        half.map_or(ENDPOINT_RETRY_AFTER, |half| half.clamp(SOONEST_BACK, LATEST_BACK))
     }
 
     /// The next endpoint that should change its pool; call it once a tick.
-    pub fn order(&mut self, now: Time) -> Option<Order> {
+    pub fn next_order(&mut self, now: Time) -> Option<Order> {
         let catalog = self.catalog.clone()?;
         let rank = self.peers.rank(now);
         let Self { pools, directory, loads, forecasts, .. } = self;
@@ -381,12 +386,12 @@
     }
 
     /// An order was not carried out.
-    pub fn order_dropped(&mut self, endpoint: &str) {
+    pub fn cancel_order(&mut self, endpoint: &str) {
         self.pools.dropped(endpoint);
     }
 
     /// Places those in the line whom there is room for.
-    pub fn pump(&mut self, now: Time) -> Vec<Placed<T>> {
+    pub fn dispatch(&mut self, now: Time) -> Vec<Placed<T>> {
         if self.catalog.is_none() {
             return Vec::new();
         }
@@ -424,17 +429,17 @@
     }
 
     /// Drops those in the line whose callers are gone.
-    pub fn retain_line(&mut self, keep: impl Fn(&T) -> bool) {
+    pub fn retain_queued(&mut self, keep: impl Fn(&T) -> bool) {
         self.line.retain(keep);
     }
 
     /// How many wait.
-    pub fn line_length(&self) -> usize {
+    pub fn queue_length(&self) -> usize {
         self.line.len()
     }
 
     /// A request's answer has begun.
-    pub fn answered(&mut self, now: Time, lease: &Lease) {
+    pub fn record_answer(&mut self, now: Time, lease: &Lease) {
         let endpoint = self.directory.get(&lease.endpoint);
         let forecast = endpoint.map(|endpoint| self.forecasts.endpoint(now, &endpoint.service, &endpoint.id));
         let rest = forecast.unwrap_or_default().event_gap() * REST_EVENTS;
@@ -442,7 +447,7 @@
     }
 
     /// A request has ended at its endpoint.
-    pub fn ended(&mut self, now: Time, lease: &Lease, outcome: Outcome) {
+    pub fn record_end(&mut self, now: Time, lease: &Lease, outcome: Outcome) {
         self.loads.give_back(now, lease, outcome);
         if outcome == Outcome::Unreachable {
             self.suspects.crashed(now, &lease.endpoint);
@@ -453,12 +458,12 @@
     }
 
     /// A request broke off at an endpoint.
-    pub fn broke(&mut self, now: Time, endpoint: &Arc<str>, fingerprint: u64) {
+    pub fn record_broken(&mut self, now: Time, endpoint: &Arc<str>, fingerprint: u64) {
         self.suspects.broke(now, endpoint, fingerprint);
     }
 
     /// Whether configuration and endpoints have been read, so that requests can be placed.
-    pub fn is_informed(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.catalog.is_some() && self.directory.is_known()
     }
 
@@ -468,13 +473,13 @@
     }
 
     /// Whether another entry has a newer configuration than the one in force here.
-    pub fn is_behind(&self, now: Time) -> bool {
+    pub fn is_configuration_stale(&self, now: Time) -> bool {
         let own = Versions { endpoints: u64::MAX, ..self.staleness.own() };
         self.peers.ahead_of(now, own).next().is_some()
     }
 
     /// The entries to ask for what the store should have given by now; none while nothing is overdue.
-    pub fn ahead(&self, now: Time) -> Vec<Member> {
+    pub fn catch_up_peers(&self, now: Time) -> Vec<Member> {
         if !self.staleness.is_overdue(now) {
             return Vec::new();
         }
@@ -494,7 +499,7 @@
     /// The list of endpoints, for an entry that cannot read it.
     pub fn listing(&self) -> Listing {
         let (version, rows) = self.directory.listed();
-        Listing { version, whole: true, rows }
+        Listing { version, is_complete: true, rows }
     }
 
     /// The endpoints known.
@@ -508,12 +513,12 @@
     }
 
     /// Tokens left, by customer.
-    pub fn left(&mut self, now: Time) -> BTreeMap<Arc<str>, i64> {
+    pub fn tokens_left(&mut self, now: Time) -> BTreeMap<Arc<str>, i64> {
         self.allowance.left(now)
     }
 
     /// The entries that share the traffic, this one among them.
-    pub fn sharers(&self) -> u32 {
+    pub fn entry_count(&self) -> u32 {
         self.peers.count()
     }
 
@@ -534,21 +539,27 @@
         Turn { rank: self.peers.position(), count: self.peers.count() }
     }
 
-    fn take(&mut self, now: Time, endpoint: Arc<Endpoint>, share: Share, answer: Option<Length>) -> Place {
+    fn take(
+        &mut self,
+        now: Time,
+        endpoint: Arc<Endpoint>,
+        share: Share,
+        answer: Option<Length>,
+    ) -> Assignment {
         let lease = self.loads.take_run(now, &endpoint.id, share, answer);
-        Place { endpoint, lease, tokens: 0, limit: Duration::ZERO }
+        Assignment { endpoint, lease, tokens: 0, limit: Duration::ZERO }
     }
 
-    fn take_reader(&mut self, now: Time, endpoint: Arc<Endpoint>, prompt: u64, aim: Duration) -> Place {
+    fn take_reader(&mut self, now: Time, endpoint: Arc<Endpoint>, prompt: u64, aim: Duration) -> Assignment {
         let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.all(now).reading);
         let forecast = self.forecasts.endpoint(now, &endpoint.service, &endpoint.id);
         let tokens = ahead + prompt;
         let limit = forecast.reading_limit(tokens, aim);
         let share = Share { reading: prompt, ..Share::default() };
-        Place { tokens, limit, ..self.take(now, endpoint, share, None) }
+        Assignment { tokens, limit, ..self.take(now, endpoint, share, None) }
     }
 }
 
 fn no_endpoint() -> Refusal {
-    Refusal::not_run(Code::NoEndpoint, "no endpoint can be reached").retry_after(COME_BACK)
+    Refusal::not_run(Code::NoEndpoint, "no endpoint can be reached").retry_after(ENDPOINT_RETRY_AFTER)
 }
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -40,9 +40,9 @@
 
 fn serving() -> State<u32> {
     let mut state = state();
-    state.adopt(at(0), 10, catalog(1, 0));
+    state.apply_catalog(at(0), 10, catalog(1, 0));
     let rows = vec![row(1, endpoint("p-1", Stage::Prefill)), row(2, endpoint("d-1", Stage::Decode))];
-    state.list(at(0), Listing { version: 2, whole: true, rows });
+    state.apply_listing(at(0), Listing { version: 2, is_complete: true, rows });
     state
 }
 
@@ -66,29 +66,29 @@
 #[test]
 fn a_configuration_never_goes_back() {
     let mut state = state();
-    assert!(state.adopt(at(0), 10, catalog(5, 0)));
-    assert!(!state.adopt(at(1), 8, catalog(4, 0)));
-    assert!(!state.adopt(at(1), 10, catalog(5, 0)));
+    assert!(state.apply_catalog(at(0), 10, catalog(5, 0)));
+    assert!(!state.apply_catalog(at(1), 8, catalog(4, 0)));
+    assert!(!state.apply_catalog(at(1), 10, catalog(5, 0)));
     assert_eq!(state.catalog().map(|catalog| catalog.version()), Some(5));
-    assert!(state.adopt(at(2), 11, catalog(6, 0)));
+    assert!(state.apply_catalog(at(2), 11, catalog(6, 0)));
 }
 
 #[test]
 fn a_run_waits_for_memory_and_gets_it_when_another_ends() {
     let mut state = serving();
-    state.line_up(at(0), completion(40_000), 1);
-    state.line_up(at(0), completion(40_000), 2);
-    let mut first = state.pump(at(10));
+    state.enqueue(at(0), completion(40_000), 1);
+    state.enqueue(at(0), completion(40_000), 2);
+    let mut first = state.dispatch(at(10));
     assert_eq!(first.len(), 1);
     let Some((Waiting { tag: 1, .. }, Verdict::Placed(place))) = first.pop() else {
         panic!("the first is placed")
     };
-    assert!(state.pump(at(20)).is_empty());
+    assert!(state.dispatch(at(20)).is_empty());
     let reader = place.reader.expect("a prefill endpoint is there");
-    state.ended(at(30), &reader.lease, Outcome::Abandoned);
-    assert!(state.pump(at(35)).is_empty());
-    state.ended(at(36), &place.run.lease, Outcome::Abandoned);
-    assert!(matches!(&state.pump(at(40))[..], [(Waiting { tag: 2, .. }, Verdict::Placed(_))]));
+    state.record_end(at(30), &reader.lease, Outcome::Abandoned);
+    assert!(state.dispatch(at(35)).is_empty());
+    state.record_end(at(36), &place.run.lease, Outcome::Abandoned);
+    assert!(matches!(&state.dispatch(at(40))[..], [(Waiting { tag: 2, .. }, Verdict::Placed(_))]));
 }
 
 /// A burst keeps the only reader busy for half a second, and callers wait for it and come out late,
@@ -97,9 +97,9 @@
 fn a_decode_endpoint_reads_one_prompt_itself_while_the_readers_are_busy() {
     let mut state = serving();
     for tag in 0..8 {
-        state.line_up(at(0), completion(4_000), tag);
+        state.enqueue(at(0), completion(4_000), tag);
     }
-    let placed = state.pump(at(10));
+    let placed = state.dispatch(at(10));
     let pairs = placed.iter().filter_map(|(_, verdict)| match verdict {
         Verdict::Placed(pair) => Some(pair),
         Verdict::Hopeless => None,
@@ -109,10 +109,10 @@
     // The reader takes six, the decode endpoint reads one, the last waits for either.
     assert_eq!((pairs.len(), own.len()), (7, 1));
     let mut lease = own[0].run.lease.clone();
-    state.answered(at(200), &lease);
+    state.record_answer(at(200), &lease);
     lease.read();
-    assert_eq!(state.pump(at(350)).len(), 1);
-    state.ended(at(3_000), &lease, Outcome::Abandoned);
+    assert_eq!(state.dispatch(at(350)).len(), 1);
+    state.record_end(at(3_000), &lease, Outcome::Abandoned);
     assert_eq!(state.loads().get("d-1").map(|load| load.own.reading), Some(4_000));
 }
 
@@ -123,15 +123,15 @@
     let mut state = serving();
     show(&mut state, 0, SMALL);
     for tag in 0..4 {
-        state.line_up(at(0), completion(11_000), tag);
+        state.enqueue(at(0), completion(11_000), tag);
     }
-    assert_eq!(state.pump(at(10)).len(), 3);
+    assert_eq!(state.dispatch(at(10)).len(), 3);
 }
 
 #[test]
 fn a_request_over_its_rate_is_refused_with_the_time_to_come_back() {
     let mut state = state();
-    state.adopt(at(0), 10, catalog(1, 1_000));
+    state.apply_catalog(at(0), 10, catalog(1, 1_000));
     let faculty = Arc::new(customer("faculty", 1_000, 1_000));
     let admission =
         Admission { customer: Some(faculty), tokens: 1_000, service: "drafting".into(), fingerprint: 1 };
@@ -139,23 +139,23 @@
     let refusal = state.admit(at(5_500), &admission).expect_err("refused");
     assert_eq!((refusal.code, refusal.not_run), (Code::OverRate, true));
     assert_eq!(refusal.retry_after, Some(Duration::from_millis(500)));
-    state.give_back(&admission);
+    state.refund(&admission);
     assert!(state.admit(at(5_500), &admission).is_ok());
 }
 
 #[test]
 fn an_entry_tells_what_it_has_taken_and_hears_what_others_have() {
     let mut state = serving();
-    state.line_up(at(0), completion(40_000), 1);
-    assert_eq!(state.pump(at(10)).len(), 1);
-    let (digest, _) = state.digest(at(20));
+    state.enqueue(at(0), completion(40_000), 1);
+    assert_eq!(state.dispatch(at(10)).len(), 1);
+    let (digest, _) = state.next_digest(at(20));
     assert_eq!(digest.shares.get("d-1").map(|share| share.memory), Some(40_000));
 
     let mut other = serving();
     let from = "127.0.0.1:8".parse().expect("an address");
-    other.heard(at(30), &Digest { name: "first".into(), ..digest }, from);
-    other.line_up(at(0), completion(40_000), 2);
-    assert!(other.pump(at(40)).is_empty());
+    other.apply_digest(at(30), &Digest { name: "first".into(), ..digest }, from);
+    other.enqueue(at(0), completion(40_000), 2);
+    assert!(other.dispatch(at(40)).is_empty());
 }
 
 /// Crash suspects come from what happened to the endpoint, however the entry learns of it.
@@ -163,9 +163,9 @@
 fn an_endpoint_that_goes_right_after_breaking_off_has_crashed() {
     let mut state = serving();
     for (now, id) in [(0, "d-1"), (1_000, "p-1")] {
-        state.broke(at(now), &id.into(), 77);
-        let listing = Listing { version: 10 + now, whole: false, rows: vec![gone(10 + now, id)] };
-        state.list(at(now + 500), listing);
+        state.record_broken(at(now), &id.into(), 77);
+        let listing = Listing { version: 10 + now, is_complete: false, rows: vec![gone(10 + now, id)] };
+        state.apply_listing(at(now + 500), listing);
     }
     let admission = Admission { customer: None, tokens: 1, service: "drafting".into(), fingerprint: 77 };
     let refusal = state.admit(at(2_000), &admission).expect_err("refused");
@@ -189,12 +189,12 @@
         let size = Size { prompt: 5_000, expected: answer, most: answer * 2 };
         for now in [0, 1_000] {
             let completion = Completion { size, received: at(now), ends: at(now + 14_000), ..completion(0) };
-            state.line_up(at(now), completion, 1);
-            let placed = state.pump(at(now));
+            state.enqueue(at(now), completion, 1);
+            let placed = state.dispatch(at(now));
             let [(_, Verdict::Placed(pair))] = &placed[..] else { panic!("refused: {sheet:?}") };
-            state.ended(at(now), &pair.run.lease, Outcome::Abandoned);
+            state.record_end(at(now), &pair.run.lease, Outcome::Abandoned);
             let reader = pair.reader.as_ref().expect("a reader");
-            state.ended(at(now), &reader.lease, Outcome::Abandoned);
+            state.record_end(at(now), &reader.lease, Outcome::Abandoned);
             show(&mut state, now, sheet);
         }
     }
@@ -206,13 +206,17 @@
     let gap = Duration::from_micros(sheet.token_us * sheet.event_tokens);
     for _ in 0..20 {
         let took = Duration::from_micros(5_000 * sheet.prompt_us);
-        state.observed(at(now), &reader, Observation::Read { tokens: 5_000, took });
+        state.record_observation(at(now), &reader, Observation::Read { tokens: 5_000, took });
         let took = Duration::from_millis(sheet.first_ms);
-        state.observed(at(now), &run, Observation::Started { prompt: 5_000, took });
-        state.observed(at(now), &run, Observation::Paced { events: 10, span: gap * 10 });
-        state.observed(at(now), &run, Observation::Ended { expected: 100 * sheet.event_tokens, events: 100 });
+        state.record_observation(at(now), &run, Observation::Started { prompt: 5_000, took });
+        state.record_observation(at(now), &run, Observation::Paced { events: 10, span: gap * 10 });
+        state.record_observation(
+            at(now),
+            &run,
+            Observation::Ended { expected: 100 * sheet.event_tokens, events: 100 },
+        );
     }
-    state.settle(at(now));
+    state.tick(at(now));
 }
 
 /// An answer is expected to take a minute at an engine that was seen, and its caller waits for fourteen
@@ -222,9 +226,9 @@
     let mut state = serving();
     show(&mut state, 0, SMALL);
     let size = Size { prompt: 5_000, expected: 12_000, most: 12_000 };
-    state.line_up(at(10), Completion { size, ..completion(0) }, 1);
-    assert!(matches!(&state.pump(at(10))[..], [(_, Verdict::Hopeless)]));
-    assert!(state.memory_free_after("drafting") > Duration::from_millis(1_000));
+    state.enqueue(at(10), Completion { size, ..completion(0) }, 1);
+    assert!(matches!(&state.dispatch(at(10))[..], [(_, Verdict::Hopeless)]));
+    assert!(state.memory_retry_after("drafting") > Duration::from_millis(1_000));
 }
 
 /// An entry that has just started has seen no request; what the others have seen comes with their digests.
@@ -232,10 +236,11 @@
 fn an_entry_that_starts_is_told_how_long_things_take() {
     let mut first = serving();
     show(&mut first, 0, SMALL);
-    let told = (0..10).map(|turn| first.digest(at(turn * 100)).0).find(|digest| !digest.forecasts.is_empty());
+    let told =
+        (0..10).map(|turn| first.next_digest(at(turn * 100)).0).find(|digest| !digest.forecasts.is_empty());
     let told = Digest { name: "first".into(), ..told.expect("one digest in ten tells") };
     let mut other = serving();
-    other.heard(at(1_000), &told, "127.0.0.1:8".parse().expect("an address"));
+    other.apply_digest(at(1_000), &told, "127.0.0.1:8".parse().expect("an address"));
     assert_eq!(other.forecast("drafting"), first.forecast("drafting"));
 }
 
@@ -247,10 +252,10 @@
     let mut state = serving();
     show(&mut state, 0, SMALL);
     let before = state.forecast("drafting");
-    let listing = Listing { version: 10, whole: false, rows: vec![gone(10, "d-1")] };
-    state.list(at(1_000), listing);
+    let listing = Listing { version: 10, is_complete: false, rows: vec![gone(10, "d-1")] };
+    state.apply_listing(at(1_000), listing);
     show(&mut state, 1_000, Sheet { token_us: 40_000, ..SMALL });
-    state.settle(at(1_100));
+    state.tick(at(1_100));
     let after = state.forecast("drafting");
     assert_eq!(after.event, None, "{before:?}");
 }
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -22,7 +22,7 @@
         knowledge::Knowledge,
         line::Verdict,
         pools::Order,
-        state::{Identity, Pair, Place, State},
+        state::{Assignment, Identity, Pair, State},
     },
     refusal::Code,
 };
@@ -118,7 +118,7 @@
 impl Worker {
     async fn run(&mut self, commands: Receiver<Command>) {
         loop {
-            let tick = if self.state.line_length() > 0 { BUSY_TICK } else { TICK };
+            let tick = if self.state.queue_length() > 0 { BUSY_TICK } else { TICK };
             match timeout(tick, commands.recv()).await {
                 Ok(Ok(command)) => self.take(command),
                 Ok(Err(_)) => return,
@@ -131,28 +131,28 @@
     fn pass_time(&mut self) {
         let now = self.clock.now();
         let since = now.since(self.told);
-        if since >= TICK || (since >= URGENT_TICK && self.state.is_urgent()) {
+        if since >= TICK || (since >= URGENT_TICK && self.state.is_digest_urgent()) {
             self.told = now;
-            lock(&self.shared.in_force).is_behind = self.state.is_behind(now);
-            let (changes, gone) = self.state.settle(now);
+            lock(&self.shared.in_force).is_behind = self.state.is_configuration_stale(now);
+            let (changes, gone) = self.state.tick(now);
             log_changes(&changes);
             for peer in gone {
                 spdlog::info!("entry forgotten", kv: { peer = &*peer });
             }
             // Full only while the sender is behind; the next digest says the same and more.
-            let _ = self.outgoing.digests.try_send(self.state.digest(now));
-            if let Some(order) = self.state.order(now)
+            let _ = self.outgoing.digests.try_send(self.state.next_digest(now));
+            if let Some(order) = self.state.next_order(now)
                 && let Err(error) = self.outgoing.orders.try_send(order)
             {
-                self.state.order_dropped(&error.into_inner().endpoint.id);
+                self.state.cancel_order(&error.into_inner().endpoint.id);
             }
         }
         if now.since(self.logged) >= LOG_FORECASTS {
             self.logged = now;
             log_forecasts(&self.state.forecasts());
         }
-        self.state.retain_line(|reply| !reply.is_closed());
-        for (waiting, verdict) in self.state.pump(now) {
+        self.state.retain_queued(|reply| !reply.is_closed());
+        for (waiting, verdict) in self.state.dispatch(now) {
             let placing = match verdict {
                 Verdict::Placed(pair) => self.tickets(pair).ok_or_else(stopping),
                 Verdict::Hopeless => Err(self.overloaded(now, &waiting.service)),
@@ -163,8 +163,8 @@
     }
 
     /// Nothing once the traffic has ended: then nobody waits for it either.
-    fn ticket(&self, place: Place) -> Option<Ticket> {
-        let Place { endpoint, lease, tokens, limit } = place;
+    fn ticket(&self, place: Assignment) -> Option<Ticket> {
+        let Assignment { endpoint, lease, tokens, limit } = place;
         let control = self.shared.control()?;
         Some(Ticket { endpoint, tokens, limit, lease, outcome: Outcome::Abandoned, control })
     }
@@ -179,30 +179,32 @@
         let now = self.clock.now();
         match command {
             Command::Admit(admission, reply) => drop(reply.try_send(self.state.admit(now, &admission))),
-            Command::GiveBack(admission) => self.state.give_back(&admission),
-            Command::Retry(service, reply) => drop(reply.try_send(self.state.retry(now, &service))),
+            Command::GiveBack(admission) => self.state.refund(&admission),
+            Command::Retry(service, reply) => drop(reply.try_send(self.state.acquire_retry(now, &service))),
             Command::IsSplit(service, reply) => drop(reply.try_send(self.state.is_split(now, &service))),
             Command::Whole(service, avoid, reply) => {
-                let place = self.state.whole(now, &service, &avoid);
+                let place = self.state.place_whole(now, &service, &avoid);
                 drop(reply.try_send(place.and_then(|place| self.ticket(place).ok_or_else(stopping))));
             }
             Command::Prefill(prompt, reply) => {
-                let place = self.state.prefill(now, &prompt);
+                let place = self.state.place_prefill(now, &prompt);
                 drop(reply.try_send(place.and_then(|place| self.ticket(place))));
             }
-            Command::LineUp(completion, reply) => self.state.line_up(now, completion, reply),
+            Command::LineUp(completion, reply) => self.state.enqueue(now, completion, reply),
             Command::Forecast(service, reply) => drop(reply.try_send(self.state.forecast(&service))),
             Command::Forecasts(reply) => drop(reply.try_send(self.state.forecasts())),
-            Command::Observed(endpoint, observation) => self.state.observed(now, &endpoint, observation),
-            Command::Made(lease, service, events) => self.state.made(&lease, &service, events),
-            Command::Answered(lease) => self.state.answered(now, &lease),
-            Command::Ended(lease, outcome) => self.state.ended(now, &lease, outcome),
-            Command::Broke(endpoint, fingerprint) => self.state.broke(now, &endpoint, fingerprint),
-            Command::OrderDropped(endpoint) => self.state.order_dropped(&endpoint),
+            Command::Observed(endpoint, observation) => {
+                self.state.record_observation(now, &endpoint, observation)
+            }
+            Command::Made(lease, service, events) => self.state.record_events(&lease, &service, events),
+            Command::Answered(lease) => self.state.record_answer(now, &lease),
+            Command::Ended(lease, outcome) => self.state.record_end(now, &lease, outcome),
+            Command::Broke(endpoint, fingerprint) => self.state.record_broken(now, &endpoint, fingerprint),
+            Command::OrderDropped(endpoint) => self.state.cancel_order(&endpoint),
             Command::Update(update) => self.update(now, update),
-            Command::Digest(digest, from) => self.state.heard(now, &digest, from),
+            Command::Digest(digest, from) => self.state.apply_digest(now, &digest, from),
             Command::Knowledge(reply) => drop(reply.try_send(self.knowledge())),
-            Command::Ahead(reply) => drop(reply.try_send(self.state.ahead(now))),
+            Command::Ahead(reply) => drop(reply.try_send(self.state.catch_up_peers(now))),
             Command::Versions(reply) => drop(reply.try_send(self.state.versions())),
             Command::Members(reply) => drop(reply.try_send(self.state.members())),
             Command::Dump(reply) => drop(reply.try_send(self.dump(now))),
@@ -212,27 +214,27 @@
     fn overloaded(&self, now: Time, service: &str) -> Refusal {
         let why = self.state.describe(now, service);
         let message = format!("no memory becomes free in time: {why}");
-        Refusal::not_run(Code::Overloaded, message).retry_after(self.state.memory_free_after(service))
+        Refusal::not_run(Code::Overloaded, message).retry_after(self.state.memory_retry_after(service))
     }
 
     fn update(&mut self, now: Time, update: Update) {
         match update {
             Update::Catalog { order, catalog, source } => self.adopt(now, order, catalog, source),
-            Update::Listing(listing) => log_changes(&self.state.list(now, listing)),
+            Update::Listing(listing) => log_changes(&self.state.apply_listing(now, listing)),
             Update::ToldListing { listing, newest } => {
-                log_changes(&self.state.told(now, listing, newest));
+                log_changes(&self.state.apply_peer_listing(now, listing, newest));
             }
             Update::Member(member) => {
                 spdlog::info!("entry named", kv: { peer = &*member.name, address = member.address.to_string().as_str() });
-                self.state.member(now, member);
+                self.state.add_member(now, member);
             }
             Update::Lost { what, reason } => {
                 spdlog::warn!("store lost", kv: { what, reason = reason.as_str() });
-                self.state.store_lost();
+                self.state.mark_store_unreachable();
             }
             Update::Regained { what } => spdlog::info!("store regained", kv: { what }),
         }
-        if self.state.is_informed() {
+        if self.state.is_ready() {
             self.uninformed = None;
         }
     }
@@ -245,7 +247,7 @@
 
     fn adopt(&mut self, now: Time, order: u64, catalog: Arc<Catalog>, source: Arc<[u8]>) {
         let (version, routes) = (catalog.version(), catalog.route_count());
-        if !self.state.adopt(now, order, catalog.clone()) {
+        if !self.state.apply_catalog(now, order, catalog.clone()) {
             spdlog::info!("older configuration ignored", kv: { version, order });
             return;
         }
@@ -280,9 +282,9 @@
             "version": self.state.catalog().map(|catalog| catalog.version()),
             "behind": lock(&self.shared.in_force).is_behind,
             "endpoints": endpoints,
-            "left": self.state.left(now),
-            "sharers": self.state.sharers(),
-            "waiting": self.state.line_length(),
+            "left": self.state.tokens_left(now),
+            "sharers": self.state.entry_count(),
+            "waiting": self.state.queue_length(),
             "forecasts": forecasts,
         })
     }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use tarragonhill_core::{
     Refusal, Time,
-    gateway::{directory::Endpoint, forecast::Observation, health::Outcome, state::COME_BACK},
+    gateway::{directory::Endpoint, forecast::Observation, health::Outcome, state::ENDPOINT_RETRY_AFTER},
     refusal::Code,
 };
 use tarragonhill_h1::head::Response;
@@ -192,7 +192,7 @@
 
 fn exhausted(inbound: &Inbound, answer: &Answer, reason: String) -> Result<(), Refusal> {
     if answer.is_open() && !inbound.may_have_run() {
-        return Err(Refusal::not_run(Code::Overloaded, reason).retry_after(COME_BACK));
+        return Err(Refusal::not_run(Code::Overloaded, reason).retry_after(ENDPOINT_RETRY_AFTER));
     }
     cut(inbound, answer, reason).map(|_| ())
 }
--- a/crates/gateway/src/whole.rs
+++ b/crates/gateway/src/whole.rs
@@ -10,7 +10,7 @@
 use futures_lite::FutureExt as _;
 use tarragonhill_core::{
     Refusal,
-    gateway::{health::Outcome, state::COME_BACK},
+    gateway::{health::Outcome, state::ENDPOINT_RETRY_AFTER},
     refusal::Code,
 };
 use tarragonhill_h1::head::Response;
@@ -88,7 +88,7 @@
     if inbound.may_have_run() {
         return Refusal::run(Code::OutcomeUnknown, reason);
     }
-    Refusal::not_run(Code::Overloaded, reason).retry_after(COME_BACK)
+    Refusal::not_run(Code::Overloaded, reason).retry_after(ENDPOINT_RETRY_AFTER)
 }
 
 /// An endpoint's own failure goes before a refusal of ours: it is what happened.
--- a/crates/wire/src/knowledge.rs
+++ b/crates/wire/src/knowledge.rs
@@ -80,7 +80,7 @@
         Ok(Self {
             versions: Versions { configuration: knowledge.order, endpoints: knowledge.newest },
             configuration: configuration.into(),
-            listing: Listing { version: knowledge.list, whole: true, rows: rows? },
+            listing: Listing { version: knowledge.list, is_complete: true, rows: rows? },
         })
     }
 }
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -144,7 +144,7 @@
 
 #[test]
 fn knowledge_of_the_store_survives() {
-    let listing = Listing { version: 12, whole: true, rows: vec![listed("i-1"), listed("i-2")] };
+    let listing = Listing { version: 12, is_complete: true, rows: vec![listed("i-1"), listed("i-2")] };
     let knowledge = Knowledge {
         versions: Versions { configuration: 11, endpoints: 9 },
         configuration: b"{\xff}".to_vec().into(),
