--- a/crates/core/src/gateway/digest.rs
+++ b/crates/core/src/gateway/digest.rs
@@ -31,11 +31,11 @@
 
 /// A change of stage that an endpoint was ordered to make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct StageChange {
     /// Its new stage.
     pub stage: Stage,
     /// How long it is still left alone at most.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// What an entry says of itself, as of the moment it was sent.
@@ -57,9 +57,9 @@
     /// What the sender has taken of each endpoint.
     pub shares: BTreeMap<Arc<str>, Share>,
     /// Failed part of the sender's newest outcomes by endpoint, thousandths; sound endpoints left out.
-    pub failing: BTreeMap<Arc<str>, u16>,
+    pub failure_permille: BTreeMap<Arc<str>, u16>,
     /// Endpoints that the sender has ordered to change their stage.
-    pub changing: BTreeMap<Arc<str>, Change>,
+    pub changing: BTreeMap<Arc<str>, StageChange>,
     /// Requests that were running when an endpoint crashed, and at how many crashes.
     pub suspects: BTreeMap<u64, u32>,
     /// How new the sender's copy of the store is.
@@ -106,7 +106,7 @@
     }
 
     /// Takes an entry that somebody named. Where it was heard itself, its own word goes first.
-    pub fn named(&mut self, now: Time, member: Member) {
+    pub fn add(&mut self, now: Time, member: Member) {
         if member.name == self.own {
             return;
         }
@@ -125,7 +125,7 @@
     /// of day: a host's clock steps back by seconds, and an entry that starts again right then would
     /// not be heard until it is forgotten. Datagrams come late by less than a start takes, so only the
     /// start before the newest has to be told apart.
-    pub fn heard(&mut self, now: Time, digest: &Digest, from: SocketAddr) -> bool {
+    pub fn record_digest(&mut self, now: Time, digest: &Digest, from: SocketAddr) -> bool {
         if digest.name == self.own {
             return false;
         }
@@ -145,13 +145,13 @@
         let peer = Peer { address: from, incarnation, serial, before, heard: now, versions };
         self.peers.insert(digest.name.clone(), peer);
         for member in &digest.members {
-            self.named(now, member.clone());
+            self.add(now, member.clone());
         }
         true
     }
 
     /// Forgets entries that were silent too long; gives their names.
-    pub fn settle(&mut self, now: Time) -> Vec<Arc<str>> {
+    pub fn remove_expired(&mut self, now: Time) -> Vec<Arc<str>> {
         let is_gone = |peer: &Peer| now.since(peer.heard) >= FORGET;
         let gone: Vec<Arc<str>> =
             self.peers.iter().filter(|(_, peer)| is_gone(peer)).map(|(name, _)| name.clone()).collect();
@@ -166,7 +166,7 @@
 
     /// The entries that were heard themselves of late: the only ones to name to others. Passing on
     /// hearsay would keep an entry that is gone in every memory for ever.
-    pub fn heard_of_late(&self, now: Time) -> impl Iterator<Item = Member> {
+    pub fn live_members(&self, now: Time) -> impl Iterator<Item = Member> {
         let is_fresh = move |peer: &Peer| peer.serial > 0 && now.since(peer.heard) < HEARSAY;
         self.peers
             .iter()
@@ -176,7 +176,7 @@
 
     /// The entries heard of late whose copies of the store have something that `own` lacks.
     pub fn ahead_of(&self, now: Time, own: Versions) -> impl Iterator<Item = Member> {
-        self.heard_of_late(now).filter(move |member| {
+        self.live_members(now).filter(move |member| {
             self.peers.get(&member.name).is_some_and(|peer| peer.versions.is_ahead_of(own))
         })
     }
@@ -193,7 +193,7 @@
 
     /// How many of the entries heard of late have names before this one's.
     pub fn rank(&self, now: Time) -> u32 {
-        self.heard_of_late(now).filter(|member| member.name < self.own).count() as u32
+        self.live_members(now).filter(|member| member.name < self.own).count() as u32
     }
 
     /// For how long each entry has been silent.
--- a/crates/core/src/gateway/directory.rs
+++ b/crates/core/src/gateway/directory.rs
@@ -34,7 +34,7 @@
     /// Names this start of the endpoint, unless it kept the name of the last.
     pub id: Arc<str>,
     /// When it started, Unix milliseconds by its own clock; tells starts of one name apart.
-    pub born: u64,
+    pub started_ms: u64,
     /// The service it serves.
     pub service: Arc<str>,
     /// Where it listens.
@@ -46,7 +46,7 @@
     /// Requests it runs at once, as it says.
     pub slots: u32,
     /// Whether it takes no new work.
-    pub leaving: bool,
+    pub is_draining: bool,
 }
 
 /// What the list says of one name, at one version of the list.
@@ -66,15 +66,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// An endpoint appeared, or changed what it says of itself.
-    Seen(Arc<Endpoint>),
+    Updated(Arc<Endpoint>),
     /// An endpoint started anew under its old name; whatever it held is gone.
     Restarted(Arc<Endpoint>),
     /// It takes no new work any more.
-    Leaving(Arc<Endpoint>),
+    Draining(Arc<Endpoint>),
     /// Its entry is gone, but it may only have lapsed while the store was away.
     Lapsed(Arc<Endpoint>),
     /// It is gone.
-    Gone(Arc<Endpoint>),
+    Removed(Arc<Endpoint>),
 }
 
 #[derive(Clone, Debug)]
@@ -102,19 +102,19 @@
 
 impl Directory {
     /// The store cannot be reached; its list goes on as it is.
-    pub fn lost(&mut self) {
+    pub fn mark_store_unreachable(&mut self) {
         self.away = true;
     }
 
     /// The store answers.
-    pub fn heard(&mut self, now: Time) {
+    pub fn mark_store_reachable(&mut self, now: Time) {
         if std::mem::take(&mut self.away) {
             self.returned = Some(now);
         }
     }
 
     /// Whether a list was ever read.
-    pub fn is_known(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.version > 0
     }
 
@@ -134,14 +134,14 @@
         let mut newest: BTreeMap<SocketAddr, u64> = BTreeMap::new();
         for endpoint in self.all() {
             let born = newest.entry(endpoint.address).or_default();
-            *born = endpoint.born.max(*born);
+            *born = endpoint.started_ms.max(*born);
         }
-        let is_replaced = |endpoint: &Endpoint| newest.get(&endpoint.address) > Some(&endpoint.born);
+        let is_replaced = |endpoint: &Endpoint| newest.get(&endpoint.address) > Some(&endpoint.started_ms);
         let mut changes = Vec::new();
         for known in self.known.values_mut() {
             if known.endpoint.as_deref().is_some_and(is_replaced) {
                 known.lapses = None;
-                changes.extend(known.endpoint.take().map(Change::Gone));
+                changes.extend(known.endpoint.take().map(Change::Removed));
             }
         }
         changes
@@ -175,7 +175,7 @@
         let Some(endpoint) = row.endpoint else {
             return self.drop_row(now, row.id, row.version, newest, before);
         };
-        let written = (endpoint.born, row.sequence);
+        let written = (endpoint.started_ms, row.sequence);
         // The store may carry out a write seconds after it was made: what an endpoint said before
         // its newest word, or before its newest start, must not come back.
         if written < newest {
@@ -186,9 +186,9 @@
         self.known.insert(row.id, known);
         match before {
             Some(before) if before == endpoint => None,
-            Some(before) if before.born != endpoint.born => Some(Change::Restarted(endpoint)),
-            _ if endpoint.leaving => Some(Change::Leaving(endpoint)),
-            _ => Some(Change::Seen(endpoint)),
+            Some(before) if before.started_ms != endpoint.started_ms => Some(Change::Restarted(endpoint)),
+            _ if endpoint.is_draining => Some(Change::Draining(endpoint)),
+            _ => Some(Change::Updated(endpoint)),
         }
     }
 
@@ -201,22 +201,22 @@
         before: Option<Arc<Endpoint>>,
     ) -> Option<Change> {
         let grace = self.returned.map(|returned| returned.plus(LAPSE_GRACE)).filter(|until| *until > now);
-        let may_return = before.as_ref().is_some_and(|endpoint| !endpoint.leaving);
+        let may_return = before.as_ref().is_some_and(|endpoint| !endpoint.is_draining);
         let lapses = grace.filter(|_| may_return);
         let kept = before.clone().filter(|_| lapses.is_some());
         let is_news = self.known.get(&id).is_none_or(|known| known.lapses.is_none());
         self.known.insert(id, Known { version, newest, endpoint: kept, lapses });
         let before = before.filter(|_| is_news)?;
-        Some(if lapses.is_some() { Change::Lapsed(before) } else { Change::Gone(before) })
+        Some(if lapses.is_some() { Change::Lapsed(before) } else { Change::Removed(before) })
     }
 
     /// Takes lapsed entries that did not come back as gone.
-    pub fn settle(&mut self, now: Time) -> Vec<Change> {
+    pub fn expire_lapsed(&mut self, now: Time) -> Vec<Change> {
         let mut changes = Vec::new();
         for known in self.known.values_mut() {
             if known.lapses.is_some_and(|until| until <= now) {
                 known.lapses = None;
-                changes.extend(known.endpoint.take().map(Change::Gone));
+                changes.extend(known.endpoint.take().map(Change::Removed));
             }
         }
         changes
@@ -229,12 +229,12 @@
 
     /// The endpoints of a service that take new work.
     pub fn serving<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Arc<Endpoint>> {
-        self.all().filter(move |endpoint| &*endpoint.service == service && !endpoint.leaving)
+        self.all().filter(move |endpoint| &*endpoint.service == service && !endpoint.is_draining)
     }
 
     /// The list as it stands, for an entry that cannot read it; lapsed endpoints are left out, since they
     /// may be gone.
-    pub fn listed(&self) -> (u64, Vec<Row>) {
+    pub fn versioned_rows(&self) -> (u64, Vec<Row>) {
         let standing = self.known.iter().filter(|(_, known)| known.lapses.is_none());
         let rows = standing.filter_map(|(id, known)| {
             let endpoint = Some(known.endpoint.clone()?);
--- a/crates/core/src/gateway/health.rs
+++ b/crates/core/src/gateway/health.rs
@@ -37,7 +37,7 @@
     /// The endpoint turned a whole request away unrun.
     Refused,
     /// The endpoint turned a run away whose memory it had reserved.
-    TurnedAway,
+    ReservationRejected,
     /// The endpoint had no memory for a run; the request did not run.
     Full,
     /// The entry gave the request up itself; tells at most that the endpoint is slow.
@@ -65,14 +65,14 @@
 
 impl Health {
     /// A request was sent; gives its number.
-    pub fn sent(&mut self, now: Time) -> u64 {
+    pub fn record_start(&mut self, now: Time) -> u64 {
         self.next += 1;
         self.open.insert(self.next, now);
         self.next
     }
 
     /// How the request of a number ended.
-    pub fn ended(&mut self, now: Time, number: u64, outcome: Outcome) {
+    pub fn record_end(&mut self, now: Time, number: u64, outcome: Outcome) {
         let sent = self.open.remove(&number);
         match outcome {
             Outcome::Answered(time) => {
@@ -90,7 +90,7 @@
             }
             // The first may be the fault of whoever read its prompt. An endpoint that is about to
             // change its stage grants reservations and turns all runs away, for some seconds.
-            Outcome::TurnedAway => {
+            Outcome::ReservationRejected => {
                 if self.turned_away > 0 {
                     self.shunned = now.plus(pause(self.turned_away - 1));
                 }
@@ -109,17 +109,17 @@
     }
 
     fn count(&mut self, now: Time, failed: f64) {
-        self.failing = self.failing(now) * (1.0 - WEIGHT) + failed * WEIGHT;
+        self.failing = self.failure_ratio(now) * (1.0 - WEIGHT) + failed * WEIGHT;
         self.at = now;
     }
 
     /// Failed part of the newest outcomes; fades without outcomes.
-    pub fn failing(&self, now: Time) -> f64 {
+    pub fn failure_ratio(&self, now: Time) -> f64 {
         self.failing * fading(now.since(self.at), HALF_LIFE)
     }
 
     /// Whether it is to be left alone for now.
-    pub fn is_shunned(&self, now: Time) -> bool {
+    pub fn is_ejected(&self, now: Time) -> bool {
         self.shunned > now
     }
 
--- a/crates/core/src/gateway/load.rs
+++ b/crates/core/src/gateway/load.rs
@@ -91,7 +91,7 @@
     /// endpoint's answers, and together they know four times sooner that it fails.
     pub fn failing(&self, now: Time) -> f64 {
         let fresh = self.others_failing.values().filter(|(at, _)| now.since(*at) < STALE);
-        fresh.map(|(_, failing)| f64::from(*failing) / 1_000.0).fold(self.health.failing(now), f64::max)
+        fresh.map(|(_, failing)| f64::from(*failing) / 1_000.0).fold(self.health.failure_ratio(now), f64::max)
     }
 
     /// Whether it reads no prompt beside its runs, and its runs have had a rest from the last.
@@ -150,7 +150,7 @@
         load.own.running += share.running;
         load.own.memory += share.memory;
         load.own.reading += share.reading;
-        let number = load.health.sent(now);
+        let number = load.health.record_start(now);
         if share.memory > 0 {
             load.runs.insert(number, Run { memory: share.memory, answer, made: 0 });
             load.grow();
@@ -167,7 +167,7 @@
             if lease.share.reading > 0 {
                 load.rested = now.plus(rest);
             }
-            load.health.ended(now, lease.number, Outcome::Answered(now.since(lease.sent)));
+            load.health.record_end(now, lease.number, Outcome::Answered(now.since(lease.sent)));
         }
     }
 
@@ -186,11 +186,11 @@
         load.own.running = load.own.running.saturating_sub(lease.share.running);
         load.own.memory = load.own.memory.saturating_sub(lease.share.memory);
         load.own.reading = load.own.reading.saturating_sub(lease.share.reading);
-        load.health.ended(now, lease.number, outcome);
+        load.health.record_end(now, lease.number, outcome);
         if load.runs.remove(&lease.number).is_some() {
             load.grow();
         }
-        if matches!(outcome, Outcome::Full | Outcome::Refused | Outcome::TurnedAway) {
+        if matches!(outcome, Outcome::Full | Outcome::Refused | Outcome::ReservationRejected) {
             load.full_until = now.plus(FULL);
         }
     }
@@ -201,7 +201,7 @@
             load.others.remove(&digest.name);
             load.others_failing.remove(&digest.name);
         }
-        for (endpoint, failing) in &digest.failing {
+        for (endpoint, failing) in &digest.failure_permille {
             let load = self.0.entry(endpoint.clone()).or_default();
             load.others_failing.insert(digest.name.clone(), (now, *failing));
         }
@@ -219,7 +219,7 @@
 
     /// Failed part of this entry's newest outcomes, thousandths, where it is worth telling.
     pub fn own_failing(&self, now: Time) -> BTreeMap<Arc<str>, u16> {
-        let failing = self.0.iter().map(|(endpoint, load)| (endpoint, load.health.failing(now)));
+        let failing = self.0.iter().map(|(endpoint, load)| (endpoint, load.health.failure_ratio(now)));
         let told = failing.filter(|(_, failing)| *failing >= TOLD);
         told.map(|(endpoint, failing)| (endpoint.clone(), (failing * 1_000.0) as u16)).collect()
     }
--- a/crates/core/src/gateway/placement.rs
+++ b/crates/core/src/gateway/placement.rs
@@ -147,7 +147,7 @@
     }
 
     fn is_shunned(&self, endpoint: &Endpoint) -> bool {
-        self.load(endpoint).is_some_and(|load| load.health.is_shunned(self.now))
+        self.load(endpoint).is_some_and(|load| load.health.is_ejected(self.now))
     }
 
     /// Whether an endpoint has kept a prompt for so long that it has probably gone dark.
@@ -306,7 +306,7 @@
         for endpoint in serving {
             all += 1;
             let Some(load) = self.load(endpoint) else { continue };
-            shunned += u32::from(load.health.is_shunned(self.now));
+            shunned += u32::from(load.health.is_ejected(self.now));
             full += u32::from(load.is_full(self.now));
             running += load.all(self.now).running;
             memory += load.all(self.now).memory;
--- a/crates/core/src/gateway/pools.rs
+++ b/crates/core/src/gateway/pools.rs
@@ -10,7 +10,7 @@
 
 use super::{
     catalog::Engine,
-    digest::Change,
+    digest::StageChange,
     directory::{Directory, Endpoint, Stage},
     forecast::{Forecast, Size, memory},
     load::Loads,
@@ -155,17 +155,17 @@
     }
 
     /// The changes that this entry has ordered.
-    pub fn changes(&self, now: Time) -> BTreeMap<Arc<str>, Change> {
+    pub fn changes(&self, now: Time) -> BTreeMap<Arc<str>, StageChange> {
         let open = self.changing.iter().filter(|(_, (until, _))| *until > now);
         let told = open.map(|(endpoint, (until, stage))| {
-            (endpoint.clone(), Change { stage: *stage, left: until.since(now) })
+            (endpoint.clone(), StageChange { stage: *stage, remaining: until.since(now) })
         });
         told.collect()
     }
 
     /// Takes a change that another entry has ordered.
-    pub fn heard(&mut self, now: Time, endpoint: &Arc<str>, change: Change) {
-        let until = now.plus(change.left.min(LONGEST_CHANGE));
+    pub fn heard(&mut self, now: Time, endpoint: &Arc<str>, change: StageChange) {
+        let until = now.plus(change.remaining.min(LONGEST_CHANGE));
         self.told.insert(endpoint.clone(), (until, change.stage));
     }
 
--- a/crates/core/src/gateway/staleness.rs
+++ b/crates/core/src/gateway/staleness.rs
@@ -64,18 +64,18 @@
 
 impl Staleness {
     /// Takes what another entry says that it has read.
-    pub fn heard(&mut self, now: Time, versions: Versions) {
+    pub fn record_peer(&mut self, now: Time, versions: Versions) {
         self.configuration.heard(now, versions.configuration);
         self.endpoints.heard(now, versions.endpoints);
     }
 
     /// This entry has read a configuration.
-    pub fn read_configuration(&mut self, now: Time, order: u64) {
+    pub fn record_configuration(&mut self, now: Time, order: u64) {
         self.configuration.read(now, order);
     }
 
     /// This entry has read the rows of endpoints up to a version.
-    pub fn read_endpoints(&mut self, now: Time, version: u64) {
+    pub fn record_endpoints(&mut self, now: Time, version: u64) {
         self.endpoints.read(now, version);
     }
 
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -145,23 +145,23 @@
             return false;
         }
         self.allowance.adjust(now, catalog.customers());
-        self.staleness.read_configuration(now, order);
+        self.staleness.record_configuration(now, order);
         self.catalog = Some(catalog);
         true
     }
 
     /// Takes a list of endpoints that the store gave.
     pub fn apply_listing(&mut self, now: Time, listing: Listing) -> Vec<Change> {
-        self.directory.heard(now);
+        self.directory.mark_store_reachable(now);
         self.take_listing(now, listing)
     }
 
     /// Takes the list of another entry, whose newest row is `newest`.
     pub fn apply_peer_listing(&mut self, now: Time, mut listing: Listing, newest: u64) -> Vec<Change> {
         // What the other one leaves out may only have lapsed while the store was away.
-        listing.is_complete &= !self.directory.is_known();
+        listing.is_complete &= !self.directory.is_loaded();
         let changes = self.take_listing(now, listing);
-        self.staleness.read_endpoints(now, newest);
+        self.staleness.record_endpoints(now, newest);
         changes
     }
 
@@ -171,7 +171,7 @@
         } else {
             self.directory.update(now, listing.version, listing.rows)
         };
-        self.staleness.read_endpoints(now, self.directory.newest_row());
+        self.staleness.record_endpoints(now, self.directory.newest_row());
         self.follow(now, &changes);
         changes
     }
@@ -180,39 +180,39 @@
         for change in changes {
             match change {
                 Change::Restarted(endpoint) => {
-                    self.suspects.crashed(now, &endpoint.id);
+                    self.suspects.record_crash(now, &endpoint.id);
                     self.pools.dropped(&endpoint.id);
                 }
-                Change::Gone(endpoint) => {
-                    self.suspects.crashed(now, &endpoint.id);
+                Change::Removed(endpoint) => {
+                    self.suspects.record_crash(now, &endpoint.id);
                     self.loads.forget(&endpoint.id);
                     self.forecasts.forget(&endpoint.service, &endpoint.id);
                 }
-                Change::Seen(endpoint) => self.pools.seen(endpoint),
-                Change::Leaving(_) | Change::Lapsed(_) => {}
+                Change::Updated(endpoint) => self.pools.seen(endpoint),
+                Change::Draining(_) | Change::Lapsed(_) => {}
             }
         }
     }
 
     /// The store cannot be reached.
     pub fn mark_store_unreachable(&mut self) {
-        self.directory.lost();
+        self.directory.mark_store_unreachable();
     }
 
     /// Takes an entry that the store names.
     pub fn add_member(&mut self, now: Time, member: Member) {
-        self.peers.named(now, member);
+        self.peers.add(now, member);
     }
 
     /// Takes another entry's digest.
     pub fn apply_digest(&mut self, now: Time, digest: &Digest, from: SocketAddr) {
-        if !self.peers.heard(now, digest, from) {
+        if !self.peers.record_digest(now, digest, from) {
             return;
         }
-        self.staleness.heard(now, digest.versions);
+        self.staleness.record_peer(now, digest.versions);
         self.allowance.heard(now, digest);
         self.loads.heard(now, digest);
-        self.suspects.heard(digest);
+        self.suspects.apply_digest(digest);
         self.forecasts.heard(&digest.name, &digest.forecasts);
         for (endpoint, change) in &digest.changing {
             self.pools.heard(now, endpoint, *change);
@@ -229,7 +229,7 @@
         self.serial += 1;
         let Totals { spent, left } = self.allowance.take_totals(now);
         let own = Member { name: self.identity.name.clone(), address: self.identity.address };
-        let members = self.peers.heard_of_late(now).chain([own]).collect();
+        let members = self.peers.live_members(now).chain([own]).collect();
         let digest = Digest {
             name: self.identity.name.clone(),
             incarnation: self.identity.incarnation,
@@ -238,9 +238,9 @@
             spent,
             left,
             shares: self.loads.own(),
-            failing: self.loads.own_failing(now),
+            failure_permille: self.loads.own_failing(now),
             changing: self.pools.changes(now),
-            suspects: self.suspects.told(now),
+            suspects: self.suspects.report(now),
             versions: self.staleness.own(),
             forecasts: if self.serial.is_multiple_of(FORECASTS_EVERY) {
                 self.forecasts.own()
@@ -253,15 +253,15 @@
 
     /// What passes by itself with time; call it several times a second.
     pub fn tick(&mut self, now: Time) -> (Vec<Change>, Vec<Arc<str>>) {
-        let gone = self.peers.settle(now);
+        let gone = self.peers.remove_expired(now);
         for peer in &gone {
             self.allowance.forget(peer);
-            self.suspects.forget(peer);
+            self.suspects.remove_peer(peer);
             self.forecasts.forget_peer(peer);
         }
         self.allowance.settle(now, &self.peers);
         self.forecasts.settle();
-        let changes = self.directory.settle(now);
+        let changes = self.directory.expire_lapsed(now);
         self.follow(now, &changes);
         (changes, gone)
     }
@@ -450,7 +450,7 @@
     pub fn record_end(&mut self, now: Time, lease: &Lease, outcome: Outcome) {
         self.loads.give_back(now, lease, outcome);
         if outcome == Outcome::Unreachable {
-            self.suspects.crashed(now, &lease.endpoint);
+            self.suspects.record_crash(now, &lease.endpoint);
         }
         if self.directory.get(&lease.endpoint).is_none() {
             self.loads.forget(&lease.endpoint);
@@ -459,12 +459,12 @@
 
     /// A request broke off at an endpoint.
     pub fn record_broken(&mut self, now: Time, endpoint: &Arc<str>, fingerprint: u64) {
-        self.suspects.broke(now, endpoint, fingerprint);
+        self.suspects.record_broken(now, endpoint, fingerprint);
     }
 
     /// Whether configuration and endpoints have been read, so that requests can be placed.
     pub fn is_ready(&self) -> bool {
-        self.catalog.is_some() && self.directory.is_known()
+        self.catalog.is_some() && self.directory.is_loaded()
     }
 
     /// How new this entry's copy of the store is.
@@ -498,7 +498,7 @@
 
     /// The list of endpoints, for an entry that cannot read it.
     pub fn listing(&self) -> Listing {
-        let (version, rows) = self.directory.listed();
+        let (version, rows) = self.directory.versioned_rows();
         Listing { version, is_complete: true, rows }
     }
 
--- a/crates/core/src/gateway/suspect.rs
+++ b/crates/core/src/gateway/suspect.rs
@@ -36,14 +36,14 @@
 
 impl Suspects {
     /// A request broke off at an endpoint, without an answer or in the middle of one.
-    pub fn broke(&mut self, now: Time, endpoint: &Arc<str>, fingerprint: u64) {
+    pub fn record_broken(&mut self, now: Time, endpoint: &Arc<str>, fingerprint: u64) {
         let broken = self.broken.entry(endpoint.clone()).or_default();
         broken.retain(|(at, _)| now.since(*at) < BLAME);
         broken.push((now, fingerprint));
     }
 
     /// An endpoint has crashed: it cannot be reached, is gone, or has started anew.
-    pub fn crashed(&mut self, now: Time, endpoint: &str) {
+    pub fn record_crash(&mut self, now: Time, endpoint: &str) {
         self.own.retain(|_, record| now.since(record.last) < MEMORY);
         for (at, fingerprint) in self.broken.remove(endpoint).unwrap_or_default() {
             if now.since(at) >= BLAME || self.own.len() >= MOST {
@@ -63,18 +63,18 @@
     }
 
     /// What this entry tells the others.
-    pub fn told(&self, now: Time) -> BTreeMap<u64, u32> {
+    pub fn report(&self, now: Time) -> BTreeMap<u64, u32> {
         let fresh = self.own.iter().filter(|(_, record)| now.since(record.last) < MEMORY);
         fresh.map(|(fingerprint, record)| (*fingerprint, record.crashes)).collect()
     }
 
     /// Takes what another entry tells.
-    pub fn heard(&mut self, digest: &Digest) {
+    pub fn apply_digest(&mut self, digest: &Digest) {
         self.others.insert(digest.name.clone(), digest.suspects.clone());
     }
 
     /// Forgets what a gone entry told.
-    pub fn forget(&mut self, peer: &str) {
+    pub fn remove_peer(&mut self, peer: &str) {
         self.others.remove(peer);
     }
 }
--- a/crates/core/tests/gateway/allowance.rs
+++ b/crates/core/tests/gateway/allowance.rs
@@ -89,7 +89,7 @@
             let mut peers = Peers::new((*name).into());
             for other in names.iter().filter(|other| *other != name) {
                 let address = "127.0.0.1:1".parse().expect("an address");
-                peers.named(at(0), Member { name: (*other).into(), address });
+                peers.add(at(0), Member { name: (*other).into(), address });
             }
             (allowance(&faculty), peers)
         })
--- a/crates/core/tests/gateway/directory.rs
+++ b/crates/core/tests/gateway/directory.rs
@@ -7,7 +7,7 @@
 use crate::{at, endpoint, gone, row};
 
 fn leaving(id: &str) -> Endpoint {
-    Endpoint { leaving: true, ..endpoint(id, Stage::Whole) }
+    Endpoint { is_draining: true, ..endpoint(id, Stage::Whole) }
 }
 
 fn names(directory: &Directory) -> Vec<Arc<str>> {
@@ -20,7 +20,7 @@
     directory.update(at(0), 1, vec![row(1, endpoint("e-1", Stage::Whole))]);
     assert_eq!(names(&directory), ["e-1".into()]);
     let changes = directory.update(at(1), 2, vec![row(2, leaving("e-1"))]);
-    assert!(matches!(changes[..], [Change::Leaving(_)]), "{changes:?}");
+    assert!(matches!(changes[..], [Change::Draining(_)]), "{changes:?}");
     assert!(names(&directory).is_empty());
 }
 
@@ -45,7 +45,7 @@
         vec![row(4, endpoint("e-1", Stage::Whole)), row(5, endpoint("e-2", Stage::Whole))],
     );
     let changes = directory.replace(at(1), 7, vec![row(5, endpoint("e-2", Stage::Whole))]);
-    assert!(matches!(&changes[..], [Change::Gone(gone)] if &*gone.id == "e-1"), "{changes:?}");
+    assert!(matches!(&changes[..], [Change::Removed(gone)] if &*gone.id == "e-1"), "{changes:?}");
     assert_eq!(names(&directory), ["e-2".into()]);
 }
 
@@ -72,15 +72,15 @@
         1,
         vec![row(1, endpoint("e-1", Stage::Whole)), row(1, endpoint("e-2", Stage::Whole))],
     );
-    directory.lost();
-    directory.heard(at(6_000));
+    directory.mark_store_unreachable();
+    directory.mark_store_reachable(at(6_000));
     let changes = directory.update(at(6_000), 5, vec![gone(4, "e-1"), gone(5, "e-2")]);
     assert!(matches!(changes[..], [Change::Lapsed(_), Change::Lapsed(_)]), "{changes:?}");
     assert_eq!(names(&directory).len(), 2);
 
     directory.update(at(7_500), 6, vec![row(6, endpoint("e-1", Stage::Whole))]);
-    let changes = directory.settle(at(9_000));
-    assert!(matches!(&changes[..], [Change::Gone(gone)] if &*gone.id == "e-2"), "{changes:?}");
+    let changes = directory.expire_lapsed(at(9_000));
+    assert!(matches!(&changes[..], [Change::Removed(gone)] if &*gone.id == "e-2"), "{changes:?}");
     assert_eq!(names(&directory), ["e-1".into()]);
 }
 
@@ -89,7 +89,7 @@
     let mut directory = Directory::default();
     directory.update(at(0), 1, vec![row(1, endpoint("e-1", Stage::Whole))]);
     let changes = directory.update(at(9_000), 2, vec![gone(2, "e-1")]);
-    assert!(matches!(changes[..], [Change::Gone(_)]), "{changes:?}");
+    assert!(matches!(changes[..], [Change::Removed(_)]), "{changes:?}");
     assert!(names(&directory).is_empty());
 }
 
@@ -97,7 +97,7 @@
 fn a_restart_under_the_old_name_is_told() {
     let mut directory = Directory::default();
     directory.update(at(0), 1, vec![row(1, endpoint("e-1", Stage::Decode))]);
-    let again = Endpoint { born: 2, ..endpoint("e-1", Stage::Decode) };
+    let again = Endpoint { started_ms: 2, ..endpoint("e-1", Stage::Decode) };
     let changes = directory.update(at(1), 2, vec![Row { sequence: 0, ..row(2, again) }]);
     assert!(matches!(changes[..], [Change::Restarted(_)]), "{changes:?}");
 }
@@ -109,10 +109,10 @@
 fn an_endpoint_at_the_address_of_another_takes_its_place() {
     let mut directory = Directory::default();
     directory.update(at(0), 1, vec![row(1, endpoint("old", Stage::Decode))]);
-    let newer = Endpoint { born: 2, ..endpoint("new", Stage::Decode) };
+    let newer = Endpoint { started_ms: 2, ..endpoint("new", Stage::Decode) };
     let changes = directory.update(at(1), 2, vec![row(2, newer)]);
     assert!(
-        changes.iter().any(|change| matches!(change, Change::Gone(gone) if &*gone.id == "old")),
+        changes.iter().any(|change| matches!(change, Change::Removed(gone) if &*gone.id == "old")),
         "{changes:?}"
     );
     assert_eq!(names(&directory), ["new".into()]);
--- a/crates/core/tests/gateway/main.rs
+++ b/crates/core/tests/gateway/main.rs
@@ -34,13 +34,13 @@
 fn endpoint(id: &str, stage: Stage) -> Endpoint {
     Endpoint {
         id: id.into(),
-        born: 1,
+        started_ms: 1,
         service: "drafting".into(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: "zone-a".into(),
         stage,
         slots: 48,
-        leaving: false,
+        is_draining: false,
     }
 }
 
--- a/crates/core/tests/gateway/placement.rs
+++ b/crates/core/tests/gateway/placement.rs
@@ -144,7 +144,7 @@
     let mut other = Loads::default();
     play(&mut other, "p-1", 8, 3);
     let mut loads = Loads::default();
-    let told = Digest { name: "b".into(), failing: other.own_failing(at(30)), ..Digest::default() };
+    let told = Digest { name: "b".into(), failure_permille: other.own_failing(at(30)), ..Digest::default() };
     loads.heard(at(30), &told);
     let found = view(&directory, &loads, 40).prefill("drafting", 5_000, AIM, "zone-a", &[]);
     assert_eq!(reader(found), Some("p-2".into()));
@@ -241,7 +241,7 @@
     let mut loads = Loads::default();
     for now in [0, 10] {
         let lease = loads.take(at(now), &"p-1".into(), Share { reading: 5_000, ..Share::default() });
-        loads.give_back(at(now), &lease, Outcome::TurnedAway);
+        loads.give_back(at(now), &lease, Outcome::ReservationRejected);
     }
     loads.take(at(20), &"p-2".into(), Share { reading: 8_000, ..Share::default() });
     let place = |now| reader(view(&directory, &loads, now).prefill("drafting", 5_000, AIM, "zone-a", &[]));
--- a/crates/core/tests/gateway/pools.rs
+++ b/crates/core/tests/gateway/pools.rs
@@ -163,7 +163,7 @@
             13_000 => drop(directory.update(at(now), 300, vec![row(300, Endpoint::clone(&reader))])),
             _ => {}
         }
-        directory.settle(at(now));
+        directory.expire_lapsed(at(now));
         assert_eq!(next(&mut pools, now, &directory, 0), None, "{now}");
     }
 }
--- a/crates/core/tests/gateway/suspect.rs
+++ b/crates/core/tests/gateway/suspect.rs
@@ -12,9 +12,9 @@
 fn crash(suspects: &mut Suspects, now: u64, endpoint: &str, running: &[u64]) {
     let endpoint: Arc<str> = endpoint.into();
     for fingerprint in running {
-        suspects.broke(at(now), &endpoint, *fingerprint);
+        suspects.record_broken(at(now), &endpoint, *fingerprint);
     }
-    suspects.crashed(at(now + 300), &endpoint);
+    suspects.record_crash(at(now + 300), &endpoint);
 }
 
 /// One request crashes every endpoint that runs it, and its caller sends it again and again, each
@@ -24,10 +24,10 @@
     let (mut one, mut two) = (Suspects::default(), Suspects::default());
     crash(&mut one, 0, "e-1", &[POISON, NEIGHBOUR]);
     assert!(!one.is_refused(at(400), POISON));
-    two.heard(&Digest { name: "one".into(), suspects: one.told(at(500)), ..Digest::default() });
+    two.apply_digest(&Digest { name: "one".into(), suspects: one.report(at(500)), ..Digest::default() });
     crash(&mut two, 1_000, "e-2", &[POISON]);
     assert!(two.is_refused(at(1_500), POISON));
-    one.heard(&Digest { name: "two".into(), suspects: two.told(at(1_500)), ..Digest::default() });
+    one.apply_digest(&Digest { name: "two".into(), suspects: two.report(at(1_500)), ..Digest::default() });
     assert!(one.is_refused(at(1_600), POISON));
     assert!(!one.is_refused(at(1_600), NEIGHBOUR) && !two.is_refused(at(1_600), NEIGHBOUR));
 }
@@ -36,11 +36,11 @@
 fn a_broken_answer_without_a_crash_blames_nobody() {
     let mut suspects = Suspects::default();
     for now in 0..5 {
-        suspects.broke(at(now), &"e-1".into(), POISON);
+        suspects.record_broken(at(now), &"e-1".into(), POISON);
     }
     assert!(!suspects.is_refused(at(10), POISON));
     // The endpoint crashes much later, under other requests.
-    suspects.crashed(at(60_000), "e-1");
+    suspects.record_crash(at(60_000), "e-1");
     assert!(!suspects.is_refused(at(60_001), POISON));
 }
 
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -266,9 +266,9 @@
                 let all = load.map(|load| load.all(now)).unwrap_or_default();
                 serde_json::json!({
                     "id": endpoint.id, "service": endpoint.service, "zone": endpoint.zone,
-                    "stage": endpoint.stage.to_string(), "leaving": endpoint.leaving,
+                    "stage": endpoint.stage.to_string(), "leaving": endpoint.is_draining,
                     "running": all.running, "memory": all.memory, "reading": all.reading,
-                    "failing": load.map(|load| load.health.failing(now)),
+                    "failing": load.map(|load| load.health.failure_ratio(now)),
                 })
             })
             .collect();
@@ -312,11 +312,11 @@
 fn log_changes(changes: &[Change]) {
     for change in changes {
         let (what, endpoint) = match change {
-            Change::Seen(endpoint) => ("seen", endpoint),
+            Change::Updated(endpoint) => ("seen", endpoint),
             Change::Restarted(endpoint) => ("restarted", endpoint),
-            Change::Leaving(endpoint) => ("leaving", endpoint),
+            Change::Draining(endpoint) => ("leaving", endpoint),
             Change::Lapsed(endpoint) => ("lapsed", endpoint),
-            Change::Gone(endpoint) => ("gone", endpoint),
+            Change::Removed(endpoint) => ("gone", endpoint),
         };
         let stage: &'static str = endpoint.stage.into();
         spdlog::info!("endpoint", kv: {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -268,7 +268,7 @@
     if exchange.reply.not_run || status == MISDIRECTED {
         inbound.not_run();
         let reason = format!("{} did not run it, status {status}", endpoint.id);
-        ticket.ended(unrun(&exchange.head, &exchange.reply, endpoint, Outcome::TurnedAway));
+        ticket.ended(unrun(&exchange.head, &exchange.reply, endpoint, Outcome::ReservationRejected));
         // The body is of no use, but reading it keeps the connection.
         let _ = exchange.whole().await;
         return Err(Trouble::NotRun(reason));
--- a/crates/gateway/src/stream/reading.rs
+++ b/crates/gateway/src/stream/reading.rs
@@ -82,7 +82,7 @@
         Ok((head, reply, _)) => {
             let is_unrun = reply.not_run || head.status == MISDIRECTED;
             ticket.ended(if is_unrun {
-                unrun(&head, &reply, endpoint, Outcome::TurnedAway)
+                unrun(&head, &reply, endpoint, Outcome::ReservationRejected)
             } else {
                 Outcome::Failed
             });
--- a/crates/wire/src/digest.rs
+++ b/crates/wire/src/digest.rs
@@ -9,7 +9,7 @@
 use tarragonhill_core::{
     clock::micros,
     gateway::{
-        digest::{Change, Digest, Member, Share},
+        digest::{Digest, Member, Share, StageChange},
         forecast::{Answer, Forecast, Trend},
         growth::Growth,
         staleness::Versions,
@@ -25,7 +25,8 @@
             spent: *spent,
             left: digest.left.get(customer).copied().unwrap_or(0),
         });
-        let endpoints: BTreeSet<&Arc<str>> = digest.shares.keys().chain(digest.failing.keys()).collect();
+        let endpoints: BTreeSet<&Arc<str>> =
+            digest.shares.keys().chain(digest.failure_permille.keys()).collect();
         let shares = endpoints.into_iter().map(|endpoint| {
             let share = digest.shares.get(endpoint).copied().unwrap_or_default();
             proto::Share {
@@ -33,7 +34,7 @@
                 running: share.running,
                 memory: share.memory,
                 reading: share.reading,
-                failing: digest.failing.get(endpoint).copied().unwrap_or(0).into(),
+                failing: digest.failure_permille.get(endpoint).copied().unwrap_or(0).into(),
                 growth: share.growth.0.to_vec(),
             }
         });
@@ -52,7 +53,7 @@
             changing: changing
                 .map(|(endpoint, change)| proto::Changing {
                     endpoint: endpoint.to_string(),
-                    left_us: micros(change.left),
+                    left_us: micros(change.remaining),
                     stage: change.stage.to_string(),
                 })
                 .collect(),
@@ -114,7 +115,7 @@
             left.insert(customer, spending.left);
         }
         let mut shares = BTreeMap::new();
-        let mut failing = BTreeMap::new();
+        let mut failure_permille = BTreeMap::new();
         for share in digest.shares {
             let endpoint: Arc<str> = share.endpoint.as_str().into();
             let taken = Share {
@@ -127,10 +128,10 @@
                 shares.insert(endpoint.clone(), taken);
             }
             if share.failing > 0 {
-                failing.insert(endpoint, u16::try_from(share.failing).unwrap_or(u16::MAX));
+                failure_permille.insert(endpoint, u16::try_from(share.failing).unwrap_or(u16::MAX));
             }
         }
-        let changing: Result<BTreeMap<Arc<str>, Change>, _> =
+        let changing: Result<BTreeMap<Arc<str>, StageChange>, _> =
             digest.changing.into_iter().map(change).collect();
         Ok(Self {
             name: digest.name.into(),
@@ -140,7 +141,7 @@
             spent,
             left,
             shares,
-            failing,
+            failure_permille,
             changing: changing?,
             suspects: digest.suspects.into_iter().map(|told| (told.fingerprint, told.crashes)).collect(),
             forecasts: digest.forecasts.into_iter().map(forecast_of).collect(),
@@ -180,7 +181,7 @@
     if value.is_finite() { value.max(0.0) } else { 0.0 }
 }
 
-fn change(told: proto::Changing) -> Result<(Arc<str>, Change), DecodeError> {
+fn change(told: proto::Changing) -> Result<(Arc<str>, StageChange), DecodeError> {
     let stage = told.stage.parse().map_err(|_| DecodeError::Unknown("stage", told.stage.clone()))?;
-    Ok((told.endpoint.into(), Change { stage, left: Duration::from_micros(told.left_us) }))
+    Ok((told.endpoint.into(), StageChange { stage, remaining: Duration::from_micros(told.left_us) }))
 }
--- a/crates/wire/src/knowledge.rs
+++ b/crates/wire/src/knowledge.rs
@@ -49,13 +49,13 @@
                 id: row.id.to_string(),
                 version: row.version,
                 sequence: row.sequence,
-                born: endpoint.born,
+                born: endpoint.started_ms,
                 service: endpoint.service.to_string(),
                 address: endpoint.address.to_string(),
                 zone: endpoint.zone.to_string(),
                 stage: endpoint.stage.to_string(),
                 slots: endpoint.slots,
-                leaving: endpoint.leaving,
+                leaving: endpoint.is_draining,
             })
         });
         Self {
@@ -98,13 +98,13 @@
         let stage = listed.stage.parse().map_err(|_| DecodeError::Unknown("stage", listed.stage.clone()))?;
         let endpoint = Endpoint {
             id: id.clone(),
-            born: listed.born,
+            started_ms: listed.born,
             service: listed.service.into(),
             address,
             zone: listed.zone.into(),
             stage,
             slots: listed.slots,
-            leaving: listed.leaving,
+            is_draining: listed.leaving,
         };
         let (version, sequence) = (listed.version, listed.sequence);
         Ok(Self { id, version, sequence, endpoint: Some(Arc::new(endpoint)) })
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -131,13 +131,13 @@
 fn listed(id: &str) -> Row {
     let endpoint = Endpoint {
         id: name(id),
-        born: 1_700_000_000_123,
+        started_ms: 1_700_000_000_123,
         service: name("drafting"),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: name("zone-a"),
         stage: Stage::Prefill,
         slots: 48,
-        leaving: true,
+        is_draining: true,
     };
     Row { id: name(id), version: 7, sequence: 9, endpoint: Some(Arc::new(endpoint)) }
 }
@@ -177,7 +177,7 @@
         spent: [(name("faculty"), 15_000)].into(),
         left: [(name("faculty"), -300)].into(),
         shares: [(name("d-1"), Share { running: 2, memory: 16_000, growth, ..Share::default() })].into(),
-        failing: [(name("d-2"), 400)].into(),
+        failure_permille: [(name("d-2"), 400)].into(),
         suspects: [(7, 2)].into(),
         versions: Versions { configuration: 11, endpoints: 9 },
         forecasts: [(name("drafting"), forecast)].into(),
