--- a/crates/core/src/gateway/catalog.rs
+++ b/crates/core/src/gateway/catalog.rs
@@ -52,9 +52,9 @@
     /// Most endpoints that may run one request; at least 1.
     pub max_attempts: u32,
     /// Whether requests need no API key.
-    pub anonymous: bool,
+    pub is_anonymous: bool,
     /// Whether a broken stream may be resumed on another endpoint.
-    pub resumable: bool,
+    pub is_resumable: bool,
 }
 
 impl Route {
@@ -63,7 +63,7 @@
         match self.kind {
             Kind::Idempotent => true,
             Kind::NonIdempotent => false,
-            Kind::Streaming => self.resumable,
+            Kind::Streaming => self.is_resumable,
         }
     }
 
@@ -91,7 +91,7 @@
     /// KV cache for prompts and answers, in tokens.
     pub memory: u64,
     /// Longest reservation that an endpoint grants; zero if it grants none.
-    pub max_hold: Duration,
+    pub max_reservation: Duration,
 }
 
 /// A group of endpoints that serve the same requests.
@@ -117,7 +117,7 @@
     /// Tokens charged for a request that does not state its size.
     pub plain_tokens: u64,
     /// Whether requests are charged by their tokens; otherwise each costs `plain_tokens`.
-    pub by_tokens: bool,
+    pub counts_tokens: bool,
 }
 
 /// Limits on requests and connections of callers.
@@ -243,7 +243,7 @@
         key: Option<&str>,
     ) -> Result<Option<&Arc<Customer>>, LookupError> {
         let customer = key.and_then(|key| self.keys.get(key)).and_then(|name| self.customers.get(name));
-        if customer.is_some() || route.anonymous || self.customers.is_empty() {
+        if customer.is_some() || route.is_anonymous || self.customers.is_empty() {
             return Ok(customer);
         }
         Err(LookupError::Key)
--- a/crates/core/tests/gateway/catalog.rs
+++ b/crates/core/tests/gateway/catalog.rs
@@ -11,7 +11,7 @@
     catalog.add_route(route("/a/", Kind::Idempotent));
     catalog.add_route(route("/a/b/", Kind::Streaming));
     let mut open = route("/open/", Kind::Idempotent);
-    open.anonymous = true;
+    open.is_anonymous = true;
     catalog.add_route(open);
     catalog.add_customer(customer("faculty", 10, 10), ["key-1".into(), "key-2".into()]);
     catalog
@@ -54,7 +54,7 @@
     assert!(!route("/a/", Kind::NonIdempotent).is_repeatable());
     assert!(!route("/a/", Kind::Streaming).is_repeatable());
     let mut resumable = route("/a/", Kind::Streaming);
-    resumable.resumable = true;
+    resumable.is_resumable = true;
     assert!(resumable.is_repeatable());
     assert_eq!(resumable.target_gap, Duration::from_millis(300));
 }
--- a/crates/core/tests/gateway/main.rs
+++ b/crates/core/tests/gateway/main.rs
@@ -53,11 +53,11 @@
 }
 
 fn engine() -> Engine {
-    Engine { slots: 48, memory: 60_000, max_hold: Duration::from_secs(2) }
+    Engine { slots: 48, memory: 60_000, max_reservation: Duration::from_secs(2) }
 }
 
 fn customer(name: &str, rate: u64, burst: u64) -> Customer {
-    Customer { name: name.into(), priority: None, rate, burst, plain_tokens: 200, by_tokens: true }
+    Customer { name: name.into(), priority: None, rate, burst, plain_tokens: 200, counts_tokens: true }
 }
 
 fn route(prefix: &str, kind: Kind) -> Route {
@@ -73,8 +73,8 @@
         priority: 1,
         targets: vec![Target { service: "drafting".into(), weight: 1 }],
         max_attempts: 1,
-        anonymous: false,
-        resumable: false,
+        is_anonymous: false,
+        is_resumable: false,
     }
 }
 
--- a/crates/gateway/src/identify.rs
+++ b/crates/gateway/src/identify.rs
@@ -52,7 +52,7 @@
 
 /// What a request takes of its customer's rate.
 fn counted(customer: &Customer, call: &Call) -> u64 {
-    let tokens = call.tokens.filter(|_| customer.by_tokens);
+    let tokens = call.tokens.filter(|_| customer.counts_tokens);
     tokens.map_or(customer.plain_tokens, |tokens| tokens.prompt + tokens.output)
 }
 
--- a/crates/gateway/src/stream/passing.rs
+++ b/crates/gateway/src/stream/passing.rs
@@ -117,7 +117,7 @@
 /// The next part of a stream. A connection that something on the way has lost track of falls silent
 /// and is never closed; without a limit it would keep its run's memory taken until the deadline.
 async fn next_part(inbound: &Inbound, exchange: &mut Exchange<'_>) -> Result<Option<Bytes>, Failure> {
-    let limit = if !inbound.route.resumable {
+    let limit = if !inbound.route.is_resumable {
         inbound.route.stall_timeout + SILENCE_SLACK
     } else if inbound.route.target_gap.is_zero() {
         STALLED
--- a/crates/gateway/src/stream/placing.rs
+++ b/crates/gateway/src/stream/placing.rs
@@ -56,7 +56,7 @@
         context.metrics.waits.observe(now.since(inbound.received).as_secs_f64());
         let read_by = reader.as_ref().map(|reader| &*reader.endpoint);
         inbound.log_place(now, &run.endpoint, read_by);
-        if engine.max_hold.is_zero() {
+        if engine.max_reservation.is_zero() {
             return Ok(Placing::Decode { run, reader, held: None });
         }
         match hold(context, &run.endpoint, &engine, run.memory()).await {
@@ -102,7 +102,7 @@
     engine: &Engine,
     memory: u64,
 ) -> Result<Option<Release>, NoHold> {
-    let message = context.dialect.hold(endpoint, memory, engine.max_hold.min(HOLD_TTL));
+    let message = context.dialect.hold(endpoint, memory, engine.max_reservation.min(HOLD_TTL));
     let sent = context.sender().send(endpoint, &message.head, &message.body, None, HOLD_LIMIT).await;
     let unreachable = |failure: Failure| NoHold::Unreachable(failure.to_string());
     let exchange = sent.map_err(unreachable)?;
