--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -458,8 +458,8 @@
     }
 
     /// A request broke off at an endpoint.
-    pub fn record_broken(&mut self, now: Time, endpoint: &Arc<str>, fingerprint: u64) {
-        self.suspects.record_broken(now, endpoint, fingerprint);
+    pub fn record_interrupted(&mut self, now: Time, endpoint: &Arc<str>, fingerprint: u64) {
+        self.suspects.record_interrupted(now, endpoint, fingerprint);
     }
 
     /// Whether configuration and endpoints have been read, so that requests can be placed.
--- a/crates/core/src/gateway/suspect.rs
+++ b/crates/core/src/gateway/suspect.rs
@@ -1,6 +1,6 @@
 //! Quarantine of requests that crash endpoints.
 //!
-//! A request that was cut off on an endpoint that then crashed is a suspect. After repeated crashes
+//! A request that was interrupted on an endpoint that then crashed is a suspect. After repeated crashes
 //! it is refused for a while. Crash counts are exchanged in digests and added up, since a caller
 //! may retry through another entry.
 
@@ -29,22 +29,22 @@
 pub struct Suspects {
     own: BTreeMap<u64, Record>,
     peers: BTreeMap<Arc<str>, BTreeMap<u64, u32>>,
-    /// Requests that were cut off recently, by endpoint.
-    broken: BTreeMap<Arc<str>, Vec<(Time, u64)>>,
+    /// Requests that were interrupted recently, by endpoint.
+    interrupted: BTreeMap<Arc<str>, Vec<(Time, u64)>>,
 }
 
 impl Suspects {
-    /// Records that a request was cut off on an endpoint.
-    pub fn record_broken(&mut self, now: Time, endpoint: &Arc<str>, fingerprint: u64) {
-        let broken = self.broken.entry(endpoint.clone()).or_default();
-        broken.retain(|(at, _)| now.since(*at) < CRASH_WINDOW);
-        broken.push((now, fingerprint));
+    /// Records that a request was interrupted on an endpoint.
+    pub fn record_interrupted(&mut self, now: Time, endpoint: &Arc<str>, fingerprint: u64) {
+        let interrupted = self.interrupted.entry(endpoint.clone()).or_default();
+        interrupted.retain(|(at, _)| now.since(*at) < CRASH_WINDOW);
+        interrupted.push((now, fingerprint));
     }
 
     /// Records that an endpoint has crashed: it is unreachable, removed or restarted.
     pub fn record_crash(&mut self, now: Time, endpoint: &str) {
         self.own.retain(|_, record| now.since(record.last_crash) < SUSPECT_TTL);
-        for (at, fingerprint) in self.broken.remove(endpoint).unwrap_or_default() {
+        for (at, fingerprint) in self.interrupted.remove(endpoint).unwrap_or_default() {
             if now.since(at) >= CRASH_WINDOW || self.own.len() >= MAX_SUSPECTS {
                 continue;
             }
--- a/crates/core/tests/gateway/catalog.rs
+++ b/crates/core/tests/gateway/catalog.rs
@@ -1,4 +1,4 @@
-//! Routes and keys of a configuration.
+//! Tests of routes and API keys.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins_and_the_host_has_no_case() {
+fn the_longest_prefix_wins_and_the_host_ignores_case() {
     let catalog = catalog();
     let found = catalog.route("A.Example:8080", "/a/b/c").expect("a route");
     assert_eq!(&*found.prefix, "/a/b/");
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_key_finds_its_customer_and_an_open_route_needs_none() {
+fn a_key_identifies_its_customer_and_an_anonymous_route_needs_none() {
     let catalog = catalog();
     let closed = catalog.route("a.example", "/a/").expect("a route").clone();
     let open = catalog.route("a.example", "/open/").expect("a route").clone();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_split_route_sends_each_service_its_part() {
+fn a_route_splits_traffic_by_weight() {
     let mut split = route("/a/", Kind::Idempotent);
     split.targets =
         vec![Target { service: "one".into(), weight: 90 }, Target { service: "two".into(), weight: 10 }];
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn only_repeatable_routes_repeat() {
+fn only_idempotent_and_resumable_routes_are_repeatable() {
     assert!(route("/a/", Kind::Idempotent).is_repeatable());
     assert!(!route("/a/", Kind::NonIdempotent).is_repeatable());
     assert!(!route("/a/", Kind::Streaming).is_repeatable());
--- a/crates/core/tests/gateway/digest.rs
+++ b/crates/core/tests/gateway/digest.rs
@@ -1,4 +1,4 @@
-//! Who the other entries are.
+//! Tests of peer membership and the ordering of digests.
 
 use tarragonhill_core::gateway::digest::{Digest, Member, Peers};
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn an_overtaken_digest_is_dropped_and_a_new_start_is_not() {
+fn outdated_digests_are_rejected_and_new_incarnations_accepted() {
     let mut peers = Peers::new("own".into());
     let from = member("b").address;
     assert!(peers.record_digest(at(0), &digest("b", 1, 5), from));
@@ -23,45 +23,42 @@
     assert!(!peers.record_digest(at(3), &digest("b", 1, 9), from));
 }
 
-/// The time of day of a host steps back by two seconds, and its entry is killed and starts again a
-/// second later. By that time it started before the start that the others know, and they dropped what it
-/// said for twelve seconds: its customers spent their rate twice.
+/// Guards against rejecting the digests of a restarted entry whose host clock was set back.
 #[test]
-fn an_entry_whose_clock_stepped_back_between_two_starts_is_heard() {
+fn an_entry_that_restarts_with_an_earlier_clock_is_accepted() {
     let mut peers = Peers::new("own".into());
     let from = member("b").address;
     assert!(peers.record_digest(at(0), &digest("b", 1_700_000_002_000, 5), from));
     assert!(peers.record_digest(at(1_000), &digest("b", 1_700_000_001_000, 1), from));
-    // A datagram of the start before that comes late changes nothing.
+    // A late datagram of the previous incarnation is ignored.
     assert!(!peers.record_digest(at(1_001), &digest("b", 1_700_000_002_000, 6), from));
     assert!(peers.record_digest(at(1_100), &digest("b", 1_700_000_001_000, 2), from));
 }
 
 #[test]
-fn an_entry_is_learnt_from_another() {
+fn members_of_a_digest_become_peers() {
     let mut peers = Peers::new("own".into());
-    let mut told = digest("b", 1, 1);
-    told.members.push(member("c"));
-    told.members.push(member("own"));
-    peers.record_digest(at(0), &told, member("b").address);
+    let mut digest = digest("b", 1, 1);
+    digest.members.push(member("c"));
+    digest.members.push(member("own"));
+    peers.record_digest(at(0), &digest, member("b").address);
     let names: Vec<_> = peers.members().map(|member| member.name).collect();
     assert_eq!(names, ["b".into(), "c".into()]);
     assert_eq!(peers.count(), 3);
 }
 
-/// A host is gone for good, but everybody goes on counting it: each entry names it to the others,
-/// and each hears it named and remembers it for longer.
+/// Guards against entries that keep reminding each other of a peer that is gone.
 #[test]
-fn an_entry_that_is_gone_is_forgotten_by_all() {
+fn a_peer_that_is_gone_is_removed_everywhere() {
     let (mut one, mut two) = (Peers::new("one".into()), Peers::new("two".into()));
     one.record_digest(at(0), &digest("gone", 1, 1), member("gone").address);
     for serial in 1..200 {
         let now = at(serial * 200);
-        let tell = |name: &str, peers: &Peers| {
+        let digest_of = |name: &str, peers: &Peers| {
             let members = peers.live_members(now).collect();
             Digest { members, ..digest(name, 1, serial) }
         };
-        let (from_one, from_two) = (tell("one", &one), tell("two", &two));
+        let (from_one, from_two) = (digest_of("one", &one), digest_of("two", &two));
         one.record_digest(now, &from_two, member("two").address);
         two.record_digest(now, &from_one, member("one").address);
         one.remove_expired(now);
--- a/crates/core/tests/gateway/directory.rs
+++ b/crates/core/tests/gateway/directory.rs
@@ -1,4 +1,4 @@
-//! Which endpoints are used, whatever the store says in which order.
+//! Tests of the endpoint directory under outages and stale reads of the store.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use crate::{at, endpoint, gone, row};
 
-fn leaving(id: &str) -> Endpoint {
+fn draining(id: &str) -> Endpoint {
     Endpoint { is_draining: true, ..endpoint(id, Stage::Whole) }
 }
 
@@ -15,20 +15,18 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_no_new_work() {
+fn a_draining_endpoint_gets_no_new_requests() {
     let mut directory = Directory::default();
     directory.update(at(0), 1, vec![row(1, endpoint("e-1", Stage::Whole))]);
     assert_eq!(names(&directory), ["e-1".into()]);
-    let changes = directory.update(at(1), 2, vec![row(2, leaving("e-1"))]);
+    let changes = directory.update(at(1), 2, vec![row(2, draining("e-1"))]);
     assert!(matches!(changes[..], [Change::Draining(_)]), "{changes:?}");
     assert!(names(&directory).is_empty());
 }
 
-/// A request goes to an endpoint that left a while ago. The store forgot its history and then, for
-/// some seconds, answered reads with an older state; the process read the whole list anew and took
-/// the old entry for a new one.
+/// Guards against a stale read of the store that brings back a removed endpoint.
 #[test]
-fn an_older_list_undoes_nothing() {
+fn an_older_list_does_not_restore_endpoints() {
     let mut directory = Directory::default();
     directory.update(at(0), 5, vec![row(5, endpoint("e-1", Stage::Whole))]);
     directory.update(at(1), 9, vec![gone(9, "e-1"), row(8, endpoint("e-2", Stage::Whole))]);
@@ -37,7 +35,7 @@
 }
 
 #[test]
-fn what_a_current_list_lacks_is_gone() {
+fn endpoints_missing_from_a_current_list_are_removed() {
     let mut directory = Directory::default();
     directory.update(
         at(0),
@@ -49,23 +47,20 @@
     assert_eq!(names(&directory), ["e-2".into()]);
 }
 
-/// An endpoint says that it leaves; a write it had made before, whose answer was lost, is carried
-/// out by the store some seconds later and says that it is ready. Callers would be sent to a process
-/// that is about to exit.
+/// Guards against a delayed write that makes a draining endpoint available again.
 #[test]
-fn a_late_write_does_not_bring_an_endpoint_back() {
+fn a_late_write_does_not_undo_draining() {
     let mut directory = Directory::default();
-    let said = |version, sequence, endpoint| Row { sequence, ..row(version, endpoint) };
-    directory.update(at(0), 1, vec![said(1, 4, endpoint("e-1", Stage::Whole))]);
-    directory.update(at(1), 2, vec![said(2, 6, leaving("e-1"))]);
-    directory.update(at(2), 3, vec![said(3, 5, endpoint("e-1", Stage::Whole))]);
+    let written = |version, sequence, endpoint| Row { sequence, ..row(version, endpoint) };
+    directory.update(at(0), 1, vec![written(1, 4, endpoint("e-1", Stage::Whole))]);
+    directory.update(at(1), 2, vec![written(2, 6, draining("e-1"))]);
+    directory.update(at(2), 3, vec![written(3, 5, endpoint("e-1", Stage::Whole))]);
     assert!(names(&directory).is_empty());
 }
 
-/// The store is away for six seconds and drops the entries of endpoints that could not renew them.
-/// On its return every endpoint seems gone for two seconds, and every request would be refused.
+/// Guards against losing all endpoints when their rows lapse during a store outage.
 #[test]
-fn an_entry_that_lapsed_while_the_store_was_away_is_used_until_it_is_back() {
+fn rows_that_lapse_in_a_store_outage_are_kept_for_a_grace_period() {
     let mut directory = Directory::default();
     directory.update(
         at(0),
@@ -85,7 +80,7 @@
 }
 
 #[test]
-fn an_entry_that_goes_while_the_store_is_there_is_gone_at_once() {
+fn a_row_removed_while_the_store_is_reachable_is_removed_at_once() {
     let mut directory = Directory::default();
     directory.update(at(0), 1, vec![row(1, endpoint("e-1", Stage::Whole))]);
     let changes = directory.update(at(9_000), 2, vec![gone(2, "e-1")]);
@@ -94,19 +89,17 @@
 }
 
 #[test]
-fn a_restart_under_the_old_name_is_told() {
+fn a_restart_under_the_same_name_is_reported() {
     let mut directory = Directory::default();
     directory.update(at(0), 1, vec![row(1, endpoint("e-1", Stage::Decode))]);
-    let again = Endpoint { started_ms: 2, ..endpoint("e-1", Stage::Decode) };
-    let changes = directory.update(at(1), 2, vec![Row { sequence: 0, ..row(2, again) }]);
+    let restarted = Endpoint { started_ms: 2, ..endpoint("e-1", Stage::Decode) };
+    let changes = directory.update(at(1), 2, vec![Row { sequence: 0, ..row(2, restarted) }]);
     assert!(matches!(changes[..], [Change::Restarted(_)]), "{changes:?}");
 }
 
-/// Three endpoints crash and start again at their old addresses under new names. Their old entries
-/// lapse only after some seconds; until then the old names are given work that the new processes
-/// turn away, after the prompts have been read for it.
+/// Guards against sending requests to an endpoint whose address a restarted process has taken.
 #[test]
-fn an_endpoint_at_the_address_of_another_takes_its_place() {
+fn a_newer_endpoint_at_the_same_address_replaces_the_older() {
     let mut directory = Directory::default();
     directory.update(at(0), 1, vec![row(1, endpoint("old", Stage::Decode))]);
     let newer = Endpoint { started_ms: 2, ..endpoint("new", Stage::Decode) };
@@ -116,7 +109,7 @@
         "{changes:?}"
     );
     assert_eq!(names(&directory), ["new".into()]);
-    // A late write of the old one changes nothing.
+    // A late write of the replaced endpoint is ignored.
     directory.update(at(2), 3, vec![row(3, endpoint("old", Stage::Decode))]);
     assert_eq!(names(&directory), ["new".into()]);
 }
--- a/crates/core/tests/gateway/rate_limit.rs
+++ b/crates/core/tests/gateway/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Rate and burst over all entries.
+//! Rate limits enforced over several entries.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -30,13 +30,13 @@
 }
 
 #[test]
-fn a_customer_without_a_rate_spends_freely() {
+fn a_customer_without_a_rate_is_not_limited() {
     let free = Arc::new(customer("free", 0, 0));
     assert_eq!(rate_limiter(&free).spend(at(1), "free", 1 << 30), Ok(()));
 }
 
 #[test]
-fn the_wait_told_is_the_time_until_the_tokens_are_there() {
+fn the_retry_delay_is_the_time_until_the_tokens_are_refilled() {
     let faculty = Arc::new(customer("faculty", RATE, BURST));
     let mut rate_limiter = rate_limiter(&faculty);
     assert_eq!(rate_limiter.spend(at(10_000), "faculty", BURST), Ok(()));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_request_larger_than_the_burst_runs_on_a_full_bucket_and_leaves_a_debt() {
+fn a_request_larger_than_the_burst_needs_a_full_bucket_and_leaves_a_debt() {
     let faculty = Arc::new(customer("faculty", RATE, BURST));
     let mut rate_limiter = rate_limiter(&faculty);
     assert_eq!(rate_limiter.spend(at(10_000), "faculty", 2 * BURST), Ok(()));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn what_another_entry_spends_is_spent_here_too() {
+fn spending_of_a_peer_is_subtracted() {
     let faculty = Arc::new(customer("faculty", RATE, BURST));
     let (mut one, mut two) = (rate_limiter(&faculty), rate_limiter(&faculty));
     one.apply_digest(at(10_000), &digest("two", 1, &mut two, 10_000));
@@ -64,10 +64,9 @@
     assert_eq!(one.spend(at(10_000), "faculty", 1_000), Ok(()));
 }
 
-/// A customer that sends ten times its rate would get its whole burst again from every process that
-/// starts: one was killed right after the bucket was empty, and the next knew nothing.
+/// Guards against granting a customer a full burst with every process start.
 #[test]
-fn a_new_process_takes_over_what_is_left() {
+fn a_new_process_takes_over_the_level_of_a_peer() {
     let faculty = Arc::new(customer("faculty", RATE, BURST));
     let mut old = rate_limiter(&faculty);
     assert_eq!(old.spend(at(10_000), "faculty", BURST), Ok(()));
@@ -77,10 +76,9 @@
     assert!(new.spend(at(10_100), "faculty", 200).is_err());
 }
 
-/// Four entries lose sight of each other while one customer sends far above its rate to all of
-/// them. Each knows only what it spent itself, and together they would grant four times the rate.
+/// Guards against partitioned entries that each grant the full rate.
 #[test]
-fn entries_that_cannot_hear_each_other_keep_the_rate_together() {
+fn partitioned_entries_stay_within_the_rate_together() {
     let faculty = Arc::new(customer("faculty", RATE, BURST));
     let names = ["e-1", "e-2", "e-3", "e-4"];
     let mut entries: Vec<(RateLimiter, Peers)> = names
@@ -103,15 +101,14 @@
             }
         }
     }
-    // Each has its first burst and a second until it takes the others as silent.
-    let allowed = 4 * (BURST / 4 + RATE) + 8 * RATE;
-    assert!(spent <= allowed, "{spent} of {allowed}");
+    // Each entry grants its initial level, and the full rate until the others count as silent.
+    let limit = 4 * (BURST / 4 + RATE) + 8 * RATE;
+    assert!(spent <= limit, "{spent} of {limit}");
 }
 
-/// Any exchange of digests, also lost and late ones, leaves the sum spent within rate, burst and
-/// what is spent between two digests.
+/// The sum stays within the limit for any exchange of digests, including lost and late ones.
 #[test]
-fn the_sum_stays_within_rate_and_burst() {
+fn total_spending_stays_within_rate_and_burst() {
     fn property(steps: Vec<(u8, u8)>) -> TestResult {
         let faculty = Arc::new(customer("faculty", RATE, BURST));
         let mut entries = [rate_limiter(&faculty), rate_limiter(&faculty), rate_limiter(&faculty)];
@@ -133,9 +130,9 @@
                 let _ = index;
             }
         }
-        // Three first parts of a burst, and what a fourth of the steps may miss of each other.
-        let allowed = BURST + now * RATE / 1_000 + 3 * BURST / 4;
-        TestResult::from_bool(spent <= allowed)
+        // Three initial levels, and the spending that is missing from the digests.
+        let limit = BURST + now * RATE / 1_000 + 3 * BURST / 4;
+        TestResult::from_bool(spent <= limit)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, 7))
@@ -143,10 +140,9 @@
         .quickcheck(property as fn(Vec<(u8, u8)>) -> TestResult);
 }
 
-/// A customer sends half as much again as its rate. All callers that are refused are told the same
-/// short wait, come back together, and all but one are refused again.
+/// Guards against equal retry delays, with which all but one of the callers are refused again.
 #[test]
-fn callers_that_are_refused_are_sent_back_one_after_the_other() {
+fn refused_callers_get_successive_retry_delays() {
     let faculty = Arc::new(customer("faculty", RATE, BURST));
     let mut rate_limiter = rate_limiter(&faculty);
     assert_eq!(rate_limiter.spend(at(10_000), "faculty", BURST), Ok(()));
@@ -161,10 +157,9 @@
     }
 }
 
-/// Both entries have just started. A customer spends all there is at the first, before either has
-/// heard the other; the first then took the second's word for what is left and gave it out again.
+/// Guards against an entry that overwrites its own spending with the higher level of a peer.
 #[test]
-fn two_new_entries_do_not_forget_what_one_has_spent() {
+fn a_new_entry_keeps_its_spending_when_it_takes_over_a_level() {
     let faculty = Arc::new(customer("faculty", RATE, BURST));
     let (mut one, mut two) = (rate_limiter(&faculty), rate_limiter(&faculty));
     assert_eq!(one.spend(at(0), "faculty", BURST / 4), Ok(()));
@@ -176,73 +171,70 @@
     assert!(two.spend(at(30), "faculty", 200).is_err());
 }
 
-/// A customer sends summaries at three times its rate, and its officers look records up at the
-/// counter. The bucket is always nearly empty, and a lookup would be refused as often as a summary.
+/// Guards against small requests that are refused because large ones keep the bucket empty.
 #[test]
-fn lookups_are_served_while_summaries_use_up_the_rate() {
+fn small_requests_are_admitted_while_large_ones_use_up_the_rate() {
     let faculty = Arc::new(customer("faculty", 47_000, 47_000));
     let mut rate_limiter = rate_limiter(&faculty);
-    let (mut summaries, mut lookups, mut refused) = (0, 0, 0);
+    let (mut large, mut small, mut refused) = (0, 0, 0);
     for now in (5_000..15_000).step_by(20) {
         if rate_limiter.spend(at(now), "faculty", 5_600).is_ok() {
-            summaries += 1;
+            large += 1;
         }
         if now % 60 == 0 {
             match rate_limiter.spend(at(now), "faculty", 200) {
-                Ok(()) => lookups += 1,
+                Ok(()) => small += 1,
                 Err(_) => refused += 1,
             }
         }
     }
-    assert!(refused <= 2, "{refused} of {} refused", lookups + refused);
-    // The rate is used up all the same.
-    let used = summaries * 5_600 + lookups * 200;
+    assert!(refused <= 2, "{refused} of {} refused", small + refused);
+    // The rate is still fully used.
+    let used = large * 5_600 + small * 200;
     assert!((450_000..=517_000).contains(&used), "{used}");
 }
 
-/// A customer begins to send seven times its usual. Within the tenth of a second between two digests, five
-/// entries spend what is left of its burst together; its bucket is far below zero then, and its lookups are
-/// refused for as long as it takes to fill.
+/// Guards against entries that overdraw a low bucket together between two digests.
 #[test]
-fn spending_of_scarce_tokens_is_told_at_once() {
+fn spending_from_a_low_bucket_makes_the_digest_urgent() {
     let mut rate_limiter = RateLimiter::new(at(0));
     rate_limiter.update_customers(at(0), [Arc::new(customer("faculty", 10_000, 10_000))].iter());
     assert!(rate_limiter.spend(at(10_000), "faculty", 4_000).is_ok());
-    assert!(!rate_limiter.is_digest_urgent(), "most of the burst is left");
+    assert!(!rate_limiter.is_digest_urgent(), "the level is not low");
     assert!(rate_limiter.spend(at(10_000), "faculty", 3_000).is_ok());
     assert!(rate_limiter.is_digest_urgent());
     rate_limiter.take_totals(at(10_000));
     assert!(!rate_limiter.is_digest_urgent());
-    // Lookups hardly count: each would cost a digest to every other entry.
+    // Small spending must not trigger extra digests.
     assert!(rate_limiter.spend(at(10_000), "faculty", 100).is_ok());
     assert!(!rate_limiter.is_digest_urgent());
 }
 
 #[test]
-fn totals_of_many_customers_fit_a_datagram_and_all_get_their_turn() {
+fn totals_of_many_customers_fit_datagrams_and_rotate() {
     let customers: Vec<_> =
         (0..21_000).map(|number| Arc::new(customer(&format!("customer-{number:05}"), RATE, BURST))).collect();
     let mut rate_limiter = RateLimiter::new(at(0));
     rate_limiter.update_customers(at(0), customers.iter());
-    let mut seen = BTreeSet::new();
+    let mut reported = BTreeSet::new();
     for round in 0..60 {
         let spender = &customers[round * 349].name;
-        rate_limiter.spend(at(10_000), spender, 7).expect("the burst is there");
+        rate_limiter.spend(at(10_000), spender, 7).expect("within the burst");
         let totals = rate_limiter.take_totals(at(10_000));
         let bytes: usize = totals.spent.keys().map(|name| name.len() + 20).sum();
         assert!(bytes < 30_000, "{bytes} bytes");
-        assert!(totals.spent.contains_key(spender), "what was just spent comes first");
-        seen.extend(totals.spent.into_keys());
+        assert!(totals.spent.contains_key(spender), "unreported spending comes first");
+        reported.extend(totals.spent.into_keys());
     }
-    assert_eq!(seen.len(), customers.len());
+    assert_eq!(reported.len(), customers.len());
 }
 
 #[test]
-fn a_customer_that_a_digest_leaves_out_has_spent_no_less_than_before() {
+fn a_customer_missing_from_a_digest_keeps_its_spending() {
     let faculty = Arc::new(customer("faculty", RATE, BURST));
     let (mut one, mut two) = (rate_limiter(&faculty), rate_limiter(&faculty));
     two.apply_digest(at(0), &digest("one", 1, &mut one, 0));
-    one.spend(at(10_000), "faculty", 3_000).expect("the burst is there");
+    one.spend(at(10_000), "faculty", 3_000).expect("within the burst");
     two.apply_digest(at(10_000), &digest("one", 2, &mut one, 10_000));
     let left = two.tokens_left(at(10_000))["faculty"];
     for serial in 3..6 {
--- a/crates/core/tests/gateway/staleness.rs
+++ b/crates/core/tests/gateway/staleness.rs
@@ -1,4 +1,4 @@
-//! When an entry asks another one for what the store has not given it.
+//! Tests of when an entry asks a peer for data that the store has not delivered.
 
 use tarragonhill_core::gateway::staleness::{Staleness, Versions};
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn what_the_store_gives_within_a_second_is_not_overdue() {
+fn a_version_that_arrives_within_a_second_is_not_overdue() {
     let mut staleness = Staleness::default();
     staleness.record_configuration(at(0), 5);
     staleness.record_peer(at(1_000), versions(6, 0));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_part_that_others_have_and_the_store_does_not_give_is_overdue() {
+fn a_version_that_only_a_peer_has_becomes_overdue() {
     for newer in [versions(6, 0), versions(0, 9)] {
         let mut staleness = Staleness::default();
         staleness.record_configuration(at(0), 5);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn changes_that_come_one_after_the_other_each_get_their_time() {
+fn each_new_version_restarts_the_overdue_timer() {
     let mut staleness = Staleness::default();
     for version in 1..50 {
         let now = version * 900;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_older_version_that_comes_late_changes_nothing() {
+fn an_older_version_is_ignored() {
     let mut staleness = Staleness::default();
     staleness.record_configuration(at(0), 5);
     staleness.record_configuration(at(1), 4);
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -1,4 +1,4 @@
-//! The entry's decisions together.
+//! Tests of the gateway state as a whole.
 
 use std::{sync::Arc, time::Duration};
 
@@ -61,10 +61,9 @@
     }
 }
 
-/// The store answers a read with an older state, and the process would go back to a configuration
-/// that the operator has replaced: withdrawn keys would work again.
+/// Guards against a stale read of the store that restores a replaced configuration.
 #[test]
-fn a_configuration_never_goes_back() {
+fn an_older_configuration_is_rejected() {
     let mut state = state();
     assert!(state.apply_catalog(at(0), 10, catalog(5, 0)));
     assert!(!state.apply_catalog(at(1), 8, catalog(4, 0)));
@@ -74,27 +73,26 @@
 }
 
 #[test]
-fn a_run_waits_for_memory_and_gets_it_when_another_ends() {
+fn a_run_waits_until_another_releases_its_memory() {
     let mut state = serving();
     state.enqueue(at(0), completion(40_000), 1);
     state.enqueue(at(0), completion(40_000), 2);
     let mut first = state.dispatch(at(10));
     assert_eq!(first.len(), 1);
-    let Some((Waiting { tag: 1, .. }, Verdict::Placed(place))) = first.pop() else {
-        panic!("the first is placed")
+    let Some((Waiting { tag: 1, .. }, Verdict::Placed(pair))) = first.pop() else {
+        panic!("the first request is not placed")
     };
     assert!(state.dispatch(at(20)).is_empty());
-    let reader = place.reader.expect("a prefill endpoint is there");
+    let reader = pair.reader.expect("a prefill endpoint");
     state.record_end(at(30), &reader.lease, Outcome::Abandoned);
     assert!(state.dispatch(at(35)).is_empty());
-    state.record_end(at(36), &place.run.lease, Outcome::Abandoned);
+    state.record_end(at(36), &pair.run.lease, Outcome::Abandoned);
     assert!(matches!(&state.dispatch(at(40))[..], [(Waiting { tag: 2, .. }, Verdict::Placed(_))]));
 }
 
-/// A burst keeps the only reader busy for half a second, and callers wait for it and come out late,
-/// while decode endpoints have places free that could read a prompt between the tokens of their runs.
+/// Guards against requests that wait for busy prefill endpoints while decode endpoints are free.
 #[test]
-fn a_decode_endpoint_reads_one_prompt_itself_while_the_readers_are_busy() {
+fn a_decode_endpoint_prefills_one_prompt_while_prefill_endpoints_are_busy() {
     let mut state = serving();
     for tag in 0..8 {
         state.enqueue(at(0), completion(4_000), tag);
@@ -106,7 +104,7 @@
     });
     let pairs: Vec<_> = pairs.collect();
     let own: Vec<_> = pairs.iter().filter(|pair| pair.reader.is_none()).collect();
-    // The reader takes six, the decode endpoint reads one, the last waits for either.
+    // The prefill endpoint takes six prompts, the decode endpoint one; the last request waits.
     assert_eq!((pairs.len(), own.len()), (7, 1));
     let mut lease = own[0].run.lease.clone();
     state.record_answer(at(200), &lease);
@@ -116,12 +114,11 @@
     assert_eq!(state.loads().get("d-1").map(|load| load.own.reading), Some(4_000));
 }
 
-/// A long prompt that a decode endpoint read itself would hold up its ten other runs for longer than
-/// their callers' longest pause.
+/// Guards against a long prefill on a decode endpoint that stalls its other runs.
 #[test]
-fn a_long_prompt_waits_for_a_reader() {
+fn a_long_prompt_waits_for_a_prefill_endpoint() {
     let mut state = serving();
-    show(&mut state, 0, SMALL);
+    observe_requests(&mut state, 0, SMALL);
     for tag in 0..4 {
         state.enqueue(at(0), completion(11_000), tag);
     }
@@ -129,7 +126,7 @@
 }
 
 #[test]
-fn a_request_over_its_rate_is_refused_with_the_time_to_come_back() {
+fn a_request_over_the_rate_is_refused_with_a_retry_delay() {
     let mut state = state();
     state.apply_catalog(at(0), 10, catalog(1, 1_000));
     let faculty = Arc::new(customer("faculty", 1_000, 1_000));
@@ -144,7 +141,7 @@
 }
 
 #[test]
-fn an_entry_tells_what_it_has_taken_and_hears_what_others_have() {
+fn reservations_are_shared_through_digests() {
     let mut state = serving();
     state.enqueue(at(0), completion(40_000), 1);
     assert_eq!(state.dispatch(at(10)).len(), 1);
@@ -158,12 +155,12 @@
     assert!(other.dispatch(at(40)).is_empty());
 }
 
-/// Crash suspects come from what happened to the endpoint, however the entry learns of it.
+/// A removal counts as a crash when a request was interrupted there shortly before.
 #[test]
-fn an_endpoint_that_goes_right_after_breaking_off_has_crashed() {
+fn removal_after_an_interrupted_request_counts_as_a_crash() {
     let mut state = serving();
     for (now, id) in [(0, "d-1"), (1_000, "p-1")] {
-        state.record_broken(at(now), &id.into(), 77);
+        state.record_interrupted(at(now), &id.into(), 77);
         let listing = Listing { version: 10 + now, is_complete: false, rows: vec![gone(10 + now, id)] };
         state.apply_listing(at(now + 500), listing);
     }
@@ -172,11 +169,10 @@
     assert_eq!(refusal.code, Code::Quarantined);
 }
 
-/// A further customer's engines make a token in an eighth of the time, and their answers are as long as their
-/// prompts. Forecasts of an engine that is known already lay past every deadline: idle endpoints turned four
-/// callers in five away.
+/// Guards against forecasts that make idle endpoints refuse requests, for engines of different
+/// speed.
 #[test]
-fn idle_endpoints_refuse_nobody_whatever_the_engine() {
+fn idle_endpoints_accept_requests_for_any_engine_speed() {
     let sheets = [
         SMALL,
         Sheet { prompt_us: 2, first_ms: 15, token_us: 500, event_tokens: 1 },
@@ -195,13 +191,13 @@
             state.record_end(at(now), &pair.run.lease, Outcome::Abandoned);
             let reader = pair.reader.as_ref().expect("a reader");
             state.record_end(at(now), &reader.lease, Outcome::Abandoned);
-            show(&mut state, now, sheet);
+            observe_requests(&mut state, now, sheet);
         }
     }
 }
 
-/// Has an entry see some requests at its endpoints.
-fn show(state: &mut State<u32>, now: u64, sheet: Sheet) {
+/// Records some requests at the endpoints of an entry.
+fn observe_requests(state: &mut State<u32>, now: u64, sheet: Sheet) {
     let (reader, run) = (endpoint("p-1", Stage::Prefill), endpoint("d-1", Stage::Decode));
     let gap = Duration::from_micros(sheet.token_us * sheet.event_tokens);
     for _ in 0..20 {
@@ -219,42 +215,40 @@
     state.tick(at(now));
 }
 
-/// An answer is expected to take a minute at an engine that was seen, and its caller waits for fourteen
-/// seconds. Placed, it would keep memory and be cut; told at once, the caller can ask for less.
+/// Guards against placing a request that cannot finish in time and only occupies memory.
 #[test]
-fn what_cannot_end_in_time_is_refused_at_once() {
+fn a_request_that_cannot_end_in_time_is_refused_at_once() {
     let mut state = serving();
-    show(&mut state, 0, SMALL);
+    observe_requests(&mut state, 0, SMALL);
     let size = Size { prompt: 5_000, expected: 12_000, most: 12_000 };
     state.enqueue(at(10), Completion { size, ..completion(0) }, 1);
     assert!(matches!(&state.dispatch(at(10))[..], [(_, Verdict::Hopeless)]));
     assert!(state.memory_retry_after("drafting") > Duration::from_millis(1_000));
 }
 
-/// An entry that has just started has seen no request; what the others have seen comes with their digests.
+/// Guards against a new entry without forecasts until it has seen requests of its own.
 #[test]
-fn an_entry_that_starts_is_told_how_long_things_take() {
+fn a_new_entry_receives_forecasts_from_its_peers() {
     let mut first = serving();
-    show(&mut first, 0, SMALL);
-    let told =
-        (0..10).map(|turn| first.next_digest(at(turn * 100)).0).find(|digest| !digest.forecasts.is_empty());
-    let told = Digest { name: "first".into(), ..told.expect("one digest in ten tells") };
+    observe_requests(&mut first, 0, SMALL);
+    let digest =
+        (0..10).map(|tick| first.next_digest(at(tick * 100)).0).find(|digest| !digest.forecasts.is_empty());
+    let digest = Digest { name: "first".into(), ..digest.expect("every tenth digest has forecasts") };
     let mut other = serving();
-    other.apply_digest(at(1_000), &told, "127.0.0.1:8".parse().expect("an address"));
+    other.apply_digest(at(1_000), &digest, "127.0.0.1:8".parse().expect("an address"));
     assert_eq!(other.forecast("drafting"), first.forecast("drafting"));
 }
 
-/// A run ends a moment after its endpoint was dropped from the list. What it shows then would bring the
-/// endpoint's record back, and nobody would ever drop it again: with endpoints that come and go all day, a
-/// process grows until it is killed.
+/// Guards against a memory leak: a late observation must not recreate the record of a removed
+/// endpoint.
 #[test]
-fn what_runs_show_of_an_endpoint_that_is_gone_is_not_kept() {
+fn observations_of_a_removed_endpoint_are_ignored() {
     let mut state = serving();
-    show(&mut state, 0, SMALL);
+    observe_requests(&mut state, 0, SMALL);
     let before = state.forecast("drafting");
     let listing = Listing { version: 10, is_complete: false, rows: vec![gone(10, "d-1")] };
     state.apply_listing(at(1_000), listing);
-    show(&mut state, 1_000, Sheet { token_us: 40_000, ..SMALL });
+    observe_requests(&mut state, 1_000, Sheet { token_us: 40_000, ..SMALL });
     state.tick(at(1_100));
     let after = state.forecast("drafting");
     assert_eq!(after.event, None, "{before:?}");
--- a/crates/core/tests/gateway/suspect.rs
+++ b/crates/core/tests/gateway/suspect.rs
@@ -1,4 +1,4 @@
-//! Requests that crash endpoints.
+//! Tests of the quarantine for requests that crash endpoints.
 
 use std::sync::Arc;
 
@@ -7,45 +7,44 @@
 use crate::at;
 
 const POISON: u64 = 1;
-const NEIGHBOUR: u64 = 2;
+const BYSTANDER: u64 = 2;
 
 fn crash(suspects: &mut Suspects, now: u64, endpoint: &str, running: &[u64]) {
     let endpoint: Arc<str> = endpoint.into();
     for fingerprint in running {
-        suspects.record_broken(at(now), &endpoint, *fingerprint);
+        suspects.record_interrupted(at(now), &endpoint, *fingerprint);
     }
     suspects.record_crash(at(now + 300), &endpoint);
 }
 
-/// One request crashes every endpoint that runs it, and its caller sends it again and again, each
-/// time by another entry. The requests that ran beside it must come out served.
+/// Guards against a request that crashes one endpoint after another through different entries.
 #[test]
-fn a_request_that_crashed_two_endpoints_is_refused_at_every_entry() {
+fn a_request_that_crashed_two_endpoints_is_refused_by_every_entry() {
     let (mut one, mut two) = (Suspects::default(), Suspects::default());
-    crash(&mut one, 0, "e-1", &[POISON, NEIGHBOUR]);
+    crash(&mut one, 0, "e-1", &[POISON, BYSTANDER]);
     assert!(!one.is_refused(at(400), POISON));
     two.apply_digest(&Digest { name: "one".into(), suspects: one.report(at(500)), ..Digest::default() });
     crash(&mut two, 1_000, "e-2", &[POISON]);
     assert!(two.is_refused(at(1_500), POISON));
     one.apply_digest(&Digest { name: "two".into(), suspects: two.report(at(1_500)), ..Digest::default() });
     assert!(one.is_refused(at(1_600), POISON));
-    assert!(!one.is_refused(at(1_600), NEIGHBOUR) && !two.is_refused(at(1_600), NEIGHBOUR));
+    assert!(!one.is_refused(at(1_600), BYSTANDER) && !two.is_refused(at(1_600), BYSTANDER));
 }
 
 #[test]
-fn a_broken_answer_without_a_crash_blames_nobody() {
+fn an_interrupted_request_without_a_crash_is_not_a_suspect() {
     let mut suspects = Suspects::default();
     for now in 0..5 {
-        suspects.record_broken(at(now), &"e-1".into(), POISON);
+        suspects.record_interrupted(at(now), &"e-1".into(), POISON);
     }
     assert!(!suspects.is_refused(at(10), POISON));
-    // The endpoint crashes much later, under other requests.
+    // The endpoint crashes much later, with other requests running.
     suspects.record_crash(at(60_000), "e-1");
     assert!(!suspects.is_refused(at(60_001), POISON));
 }
 
 #[test]
-fn a_suspect_is_let_in_again_after_a_while() {
+fn a_suspect_is_admitted_again_after_its_ttl() {
     let mut suspects = Suspects::default();
     crash(&mut suspects, 0, "e-1", &[POISON]);
     crash(&mut suspects, 1_000, "e-2", &[POISON]);
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -199,7 +199,9 @@
             Command::Made(lease, service, events) => self.state.record_events(&lease, &service, events),
             Command::Answered(lease) => self.state.record_answer(now, &lease),
             Command::Ended(lease, outcome) => self.state.record_end(now, &lease, outcome),
-            Command::Broke(endpoint, fingerprint) => self.state.record_broken(now, &endpoint, fingerprint),
+            Command::Broke(endpoint, fingerprint) => {
+                self.state.record_interrupted(now, &endpoint, fingerprint)
+            }
             Command::OrderDropped(endpoint) => self.state.cancel_order(&endpoint),
             Command::Update(update) => self.update(now, update),
             Command::Digest(digest, from) => self.state.apply_digest(now, &digest, from),
