--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -1,6 +1,6 @@
-//! Everything that one entry's decisions rest on, behind one door.
+//! The state that one entry's routing decisions are based on.
 //!
-//! The control thread owns it. `T` is whom to answer when a request that waits is placed.
+//! It is owned by the control thread. `T` identifies the caller of a queued request.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -26,86 +26,88 @@
     refusal::{Code, Refusal},
 };
 
-/// What callers are told to wait when an endpoint is expected back soon.
+/// Retry delay for callers when an endpoint is expected to return soon.
 pub const ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// Soonest and latest that a caller is told to come back that waited in vain for memory: sooner it would
-/// meet the same runs, later it has often left.
-const SOONEST_BACK: Duration = Duration::from_millis(300);
-const LATEST_BACK: Duration = Duration::from_millis(3_000);
-/// Times of an event that the runs of a decode endpoint get between two prompts that it reads beside
-/// them: with the second right behind the first, an event that falls between both waits for both.
-const REST_EVENTS: u32 = 2;
-/// Digests of which one carries forecasts; one that starts has them within a second.
-const FORECASTS_EVERY: u64 = 10;
-
-/// Who this entry is.
+/// Bounds of the retry delay for callers that found no free memory: earlier, the same runs still
+/// occupy it; later, the callers have often left.
+const MIN_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(300);
+const MAX_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(3_000);
+/// Pause between two prefills on a decode endpoint, in event gaps of its runs, so that one event is
+/// not delayed by both.
+const PREFILL_PAUSE_EVENTS: u32 = 2;
+/// Number of digests per digest that carries forecasts.
+const DIGESTS_PER_FORECAST: u64 = 10;
+
+/// Identity of this entry.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its name.
+    /// Unique name.
     pub name: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: Arc<str>,
-    /// Tells starts of one name apart; drawn at random.
+    /// Random number that identifies one start of the process.
     pub incarnation: u64,
-    /// Where it hears digests.
+    /// Address that receives digests.
     pub address: SocketAddr,
 }
 
-/// An endpoint for a request, and the request's part in its load.
+/// An endpoint for a request, with the request's lease there.
 #[derive(Clone, Debug)]
 pub struct Assignment {
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// To be given back when the request ends there.
+    /// Returned when the request ends at the endpoint.
     pub lease: Lease,
-    /// Prompt tokens to be read there, those before it included; zero if it is no reader's place.
+    /// Prompt tokens queued for prefill there, including this prompt; zero if there is nothing to
+    /// prefill.
     pub tokens: u64,
-    /// How long to wait for its prompt to be read before another endpoint is asked; zero likewise.
+    /// Time limit for the prefill before another endpoint is tried; zero if there is nothing to
+    /// prefill.
     pub limit: Duration,
 }
 
-/// A list of endpoints, or a part that changed.
+/// A complete or partial list of endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listing {
     /// Version of the list.
     pub version: u64,
-    /// Whether rows that are missing are gone.
+    /// Whether endpoints without a row have been removed.
     pub is_complete: bool,
     /// The rows.
     pub rows: Vec<Row>,
 }
 
-/// What a request asks to be admitted with.
+/// A request for admission.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    /// Who calls.
+    /// The caller, if it is known.
     pub customer: Option<Arc<Customer>>,
-    /// Tokens it counts for.
+    /// Tokens to charge.
     pub tokens: u64,
-    /// Where it goes.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Digest of customer, path and body.
+    /// Hash of customer, path and body.
     pub fingerprint: u64,
 }
 
-/// Where a completion runs.
+/// The endpoints of a completion.
 #[derive(Clone, Debug)]
 pub struct Pair {
-    /// Where its tokens are made.
+    /// Decodes the answer.
     pub run: Assignment,
-    /// Where its prompt is read; without one, where its tokens are made.
+    /// Prefills the prompt; without one, the decode endpoint does.
     pub reader: Option<Assignment>,
 }
 
-/// Whom to answer, and how.
-pub type Placed<T> = (Waiting<T>, Verdict<Pair>);
+/// A request that leaves the queue, and its outcome.
+pub type Dispatched<T> = (Waiting<T>, Verdict<Pair>);
 
 /// The state of one entry.
 #[derive(Debug)]
 pub struct State<T> {
     identity: Identity,
     catalog: Option<Arc<Catalog>>,
-    /// What was read of the store; orders versions of the catalog, larger is newer.
+    /// Versions read from the store; a larger configuration order is newer.
     staleness: Staleness,
     directory: Directory,
     loads: Loads,
@@ -120,7 +122,7 @@
 }
 
 impl<T> State<T> {
-    /// The state of an entry that starts now.
+    /// Creates the state of an entry that starts now.
     pub fn new(identity: Identity, retries: Rule, now: Time) -> Self {
         Self {
             peers: Peers::new(identity.name.clone()),
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Puts a configuration in force, unless it is older than the one that is; says whether it did.
+    /// Applies a configuration; returns false if it is not newer than the current one.
     pub fn apply_catalog(&mut self, now: Time, order: u64, catalog: Arc<Catalog>) -> bool {
         if self.catalog.is_some() && order <= self.staleness.own().configuration {
             return false;
@@ -150,33 +152,33 @@
         true
     }
 
-    /// Takes a list of endpoints that the store gave.
+    /// Applies a list of endpoints read from the store.
     pub fn apply_listing(&mut self, now: Time, listing: Listing) -> Vec<Change> {
         self.directory.mark_store_reachable(now);
-        self.take_listing(now, listing)
+        self.update_directory(now, listing)
     }
 
-    /// Takes the list of another entry, whose newest row is `newest`.
+    /// Applies the list of a peer whose newest row is `newest`.
     pub fn apply_peer_listing(&mut self, now: Time, mut listing: Listing, newest: u64) -> Vec<Change> {
-        // What the other one leaves out may only have lapsed while the store was away.
+        // Rows that the peer lacks may have lapsed only during a store outage.
         listing.is_complete &= !self.directory.is_loaded();
-        let changes = self.take_listing(now, listing);
+        let changes = self.update_directory(now, listing);
         self.staleness.record_endpoints(now, newest);
         changes
     }
 
-    fn take_listing(&mut self, now: Time, listing: Listing) -> Vec<Change> {
+    fn update_directory(&mut self, now: Time, listing: Listing) -> Vec<Change> {
         let changes = if listing.is_complete {
             self.directory.replace(now, listing.version, listing.rows)
         } else {
             self.directory.update(now, listing.version, listing.rows)
         };
         self.staleness.record_endpoints(now, self.directory.newest_row());
-        self.follow(now, &changes);
+        self.apply_changes(now, &changes);
         changes
     }
 
-    fn follow(&mut self, now: Time, changes: &[Change]) {
+    fn apply_changes(&mut self, now: Time, changes: &[Change]) {
         for change in changes {
             match change {
                 Change::Restarted(endpoint) => {
@@ -194,17 +196,17 @@
         }
     }
 
-    /// The store cannot be reached.
+    /// Records that the store is unreachable.
     pub fn mark_store_unreachable(&mut self) {
         self.directory.mark_store_unreachable();
     }
 
-    /// Takes an entry that the store names.
+    /// Adds a peer that is listed in the store.
     pub fn add_member(&mut self, now: Time, member: Member) {
         self.peers.add(now, member);
     }
 
-    /// Takes another entry's digest.
+    /// Applies the digest of a peer.
     pub fn apply_digest(&mut self, now: Time, digest: &Digest, from: SocketAddr) {
         if !self.peers.record_digest(now, digest, from) {
             return;
@@ -219,12 +221,12 @@
         }
     }
 
-    /// Whether the others should hear of this entry before its next digest is due.
+    /// Whether a digest should be sent before the next one is due.
     pub fn is_digest_urgent(&self) -> bool {
         self.rate_limiter.is_digest_urgent()
     }
 
-    /// What this entry tells the others, and whom.
+    /// Returns the next digest and its recipients.
     pub fn next_digest(&mut self, now: Time) -> (Digest, Vec<Member>) {
         self.serial += 1;
         let Totals { spent, left } = self.rate_limiter.take_totals(now);
@@ -242,7 +244,7 @@
             changing: self.pools.changes(now),
             suspects: self.suspects.report(now),
             versions: self.staleness.own(),
-            forecasts: if self.serial.is_multiple_of(FORECASTS_EVERY) {
+            forecasts: if self.serial.is_multiple_of(DIGESTS_PER_FORECAST) {
                 self.forecasts.own()
             } else {
                 BTreeMap::new()
@@ -251,10 +253,11 @@
         (digest, self.peers.members().collect())
     }
 
-    /// What passes by itself with time; call it several times a second.
+    /// Applies timeouts; must be called several times a second. Returns changed endpoints and
+    /// expired peers.
     pub fn tick(&mut self, now: Time) -> (Vec<Change>, Vec<Arc<str>>) {
-        let gone = self.peers.remove_expired(now);
-        for peer in &gone {
+        let expired = self.peers.remove_expired(now);
+        for peer in &expired {
             self.rate_limiter.remove_peer(peer);
             self.suspects.remove_peer(peer);
             self.forecasts.forget_peer(peer);
@@ -262,11 +265,11 @@
         self.rate_limiter.charge_silent_peers(now, &self.peers);
         self.forecasts.settle();
         let changes = self.directory.expire_lapsed(now);
-        self.follow(now, &changes);
-        (changes, gone)
+        self.apply_changes(now, &changes);
+        (changes, expired)
     }
 
-    /// Whether a request may run at all; charges its customer if so.
+    /// Admits a request and charges its customer.
     pub fn admit(&mut self, now: Time, admission: &Admission) -> Result<(), Refusal> {
         if self.suspects.is_refused(now, admission.fingerprint) {
             return Err(Refusal::not_run(Code::Quarantined, "this request has crashed endpoints"));
@@ -284,25 +287,25 @@
         Ok(())
     }
 
-    /// Gives back what a request was charged that nobody ran.
+    /// Returns the tokens of a request that did not run.
     pub fn refund(&mut self, admission: &Admission) {
         if let Some(customer) = &admission.customer {
             self.rate_limiter.refund(&customer.name, admission.tokens);
         }
     }
 
-    /// Whether a request may be sent to a further endpoint; pays for it if so.
+    /// Takes a retry from the retry budget; returns false if none is left.
     pub fn acquire_retry(&mut self, now: Time, service: &Arc<str>) -> bool {
         self.budget.extra(now, service, self.peers.count())
     }
 
-    /// What a service's requests are split into, at this moment.
+    /// Whether a service currently has separate prefill or decode endpoints.
     pub fn is_split(&self, now: Time, service: &str) -> bool {
         let view = self.view(now);
         view.has(service, Stage::Decode) || view.has(service, Stage::Prefill)
     }
 
-    /// An endpoint for a whole request.
+    /// Assigns an endpoint to a whole request.
     pub fn place_whole(
         &mut self,
         now: Time,
@@ -311,20 +314,20 @@
     ) -> Result<Assignment, Refusal> {
         let found = self.view(now).whole(service, avoid);
         let share = Share { running: 1, ..Share::default() };
-        found.map(|endpoint| self.take(now, endpoint, share, None)).ok_or_else(no_endpoint)
+        found.map(|endpoint| self.assign(now, endpoint, share, None)).ok_or_else(no_endpoint)
     }
 
-    /// A further endpoint that reads a prompt; none if none can.
+    /// Assigns another prefill endpoint to a prompt; `None` if none is available.
     pub fn place_prefill(&mut self, now: Time, prompt: &Prompt) -> Option<Assignment> {
         let Prompt { service, tokens, aim, zone, avoid } = prompt;
         let aim = declared(*aim);
         let Reader::Endpoint(endpoint) = self.view(now).prefill(service, *tokens, aim, zone, avoid) else {
             return None;
         };
-        Some(self.take_reader(now, endpoint, *tokens, aim))
+        Some(self.assign_prefill(now, endpoint, *tokens, aim))
     }
 
-    /// Lines a completion up for a decode endpoint; whoever is placed then comes out of [`Self::pump`].
+    /// Queues a completion; [`Self::dispatch`] returns it once it is placed or expired.
     pub fn enqueue(&mut self, now: Time, completion: Completion, tag: T) {
         let forecast = self.forecasts.service(&completion.service);
         let engine = self.engine(&completion.service);
@@ -332,7 +335,7 @@
             self.pools.note(now, &completion.service, engine, completion.size);
         }
         let mut waiting = completion.queued(&forecast, tag);
-        // What is larger than an endpoint's memory runs alone, as far as its answer fits.
+        // A request that is larger than an endpoint's memory runs alone.
         waiting.memory = waiting.memory.min(engine.map_or(u64::MAX, |engine| engine.memory));
         self.line.push(waiting);
     }
@@ -341,7 +344,7 @@
         self.catalog.as_ref()?.service(service)?.engine
     }
 
-    /// Takes what a request showed of an endpoint, unless that is gone: nobody would forget it again.
+    /// Records an observation, unless the endpoint was removed: its record would never be deleted.
     pub fn record_observation(&mut self, now: Time, endpoint: &Endpoint, observation: Observation) {
         if self.directory.get(&endpoint.id).is_none() {
             return;
@@ -350,29 +353,29 @@
         self.forecasts.note(now, &endpoint.service, &endpoint.id, memory, observation);
     }
 
-    /// Takes events that a run has made.
+    /// Records events that a run has produced.
     pub fn record_events(&mut self, lease: &Lease, service: &str, events: u64) {
         let event_tokens = self.forecasts.service(service).lengths().event_tokens;
         self.loads.made(lease, (events as f64 * event_tokens) as u64);
     }
 
-    /// What is known of a service's endpoints together.
+    /// Returns the forecast for a service.
     pub fn forecast(&self, service: &str) -> Forecast {
         self.forecasts.service(service)
     }
 
-    /// What is known of all services.
+    /// Returns the forecasts for all services.
     pub fn forecasts(&self) -> BTreeMap<Arc<str>, Forecast> {
         self.forecasts.typical()
     }
 
-    /// When a caller should come back that waited in vain for memory of a service.
+    /// Returns the retry delay for callers that found no free memory for a service.
     pub fn memory_retry_after(&self, service: &str) -> Duration {
         let half = self.forecasts.service(service).half_run();
-        half.map_or(ENDPOINT_RETRY_AFTER, |half| half.clamp(SOONEST_BACK, LATEST_BACK))
+        half.map_or(ENDPOINT_RETRY_AFTER, |half| half.clamp(MIN_MEMORY_RETRY_AFTER, MAX_MEMORY_RETRY_AFTER))
     }
 
-    /// The next endpoint that should change its pool; call it once a tick.
+    /// Returns the next endpoint that should change its pool; must be called once per tick.
     pub fn next_order(&mut self, now: Time) -> Option<Order> {
         let catalog = self.catalog.clone()?;
         let rank = self.peers.rank(now);
@@ -385,13 +388,13 @@
         })
     }
 
-    /// An order was not carried out.
+    /// Records that an order was not carried out.
     pub fn cancel_order(&mut self, endpoint: &str) {
         self.pools.dropped(endpoint);
     }
 
-    /// Places those in the line whom there is room for.
-    pub fn dispatch(&mut self, now: Time) -> Vec<Placed<T>> {
+    /// Places queued requests for which there is room.
+    pub fn dispatch(&mut self, now: Time) -> Vec<Dispatched<T>> {
         if self.catalog.is_none() {
             return Vec::new();
         }
@@ -401,7 +404,7 @@
         placed
     }
 
-    /// Takes the places of a completion; none if it has to wait.
+    /// Assigns endpoints to a completion; `None` if it has to wait.
     fn place(&mut self, now: Time, waiting: &Waiting<T>) -> Option<Pair> {
         let Waiting { service, size, memory, gap, aim, avoid, .. } = waiting;
         let engine = self.engine(service)?;
@@ -417,36 +420,36 @@
         let Pairing { endpoint, reader } = self.view(now).pair(service, &engine, &run)?;
         let reading = if reader.is_some() { 0 } else { size.prompt };
         let share = Share { running: 1, memory: *memory, reading, ..Share::default() };
-        let run = self.take(now, endpoint, share, Some(Length { size: *size, spread }));
-        let reader = reader.map(|reader| self.take_reader(now, reader, size.prompt, *aim));
+        let run = self.assign(now, endpoint, share, Some(Length { size: *size, spread }));
+        let reader = reader.map(|reader| self.assign_prefill(now, reader, size.prompt, *aim));
         Some(Pair { run, reader })
     }
 
-    /// What decides who is placed, in one line for logs.
+    /// Summarizes queue and decode pool of a service on one line, for refusals.
     pub fn describe(&self, now: Time, service: &str) -> String {
         let waiting = self.line.len();
         format!("{waiting} wait; {}", self.view(now).describe(service, Stage::Decode))
     }
 
-    /// Drops those in the line whose callers are gone.
+    /// Removes queued requests whose callers are gone.
     pub fn retain_queued(&mut self, keep: impl Fn(&T) -> bool) {
         self.line.retain(keep);
     }
 
-    /// How many wait.
+    /// Returns the number of queued requests.
     pub fn queue_length(&self) -> usize {
         self.line.len()
     }
 
-    /// A request's answer has begun.
+    /// Records the beginning of an answer.
     pub fn record_answer(&mut self, now: Time, lease: &Lease) {
         let endpoint = self.directory.get(&lease.endpoint);
         let forecast = endpoint.map(|endpoint| self.forecasts.endpoint(now, &endpoint.service, &endpoint.id));
-        let rest = forecast.unwrap_or_default().event_gap() * REST_EVENTS;
-        self.loads.answered(now, lease, rest);
+        let pause = forecast.unwrap_or_default().event_gap() * PREFILL_PAUSE_EVENTS;
+        self.loads.answered(now, lease, pause);
     }
 
-    /// A request has ended at its endpoint.
+    /// Records the end of a request at its endpoint.
     pub fn record_end(&mut self, now: Time, lease: &Lease, outcome: Outcome) {
         self.loads.give_back(now, lease, outcome);
         if outcome == Outcome::Unreachable {
@@ -457,7 +460,7 @@
         }
     }
 
-    /// A request broke off at an endpoint.
+    /// Records that a request was interrupted on an endpoint.
     pub fn record_interrupted(&mut self, now: Time, endpoint: &Arc<str>, fingerprint: u64) {
         self.suspects.record_interrupted(now, endpoint, fingerprint);
     }
@@ -467,18 +470,19 @@
         self.catalog.is_some() && self.directory.is_loaded()
     }
 
-    /// How new this entry's copy of the store is.
+    /// Returns the versions of this entry's copy of the store.
     pub fn versions(&self) -> Versions {
         self.staleness.own()
     }
 
-    /// Whether another entry has a newer configuration than the one in force here.
+    /// Whether a peer has a newer configuration than this entry.
     pub fn is_configuration_stale(&self, now: Time) -> bool {
         let own = Versions { endpoints: u64::MAX, ..self.staleness.own() };
         self.peers.ahead_of(now, own).next().is_some()
     }
 
-    /// The entries to ask for what the store should have given by now; none while nothing is overdue.
+    /// Returns the peers that have data which the store should have delivered by now; empty if
+    /// nothing is overdue.
     pub fn catch_up_peers(&self, now: Time) -> Vec<Member> {
         if !self.staleness.is_overdue(now) {
             return Vec::new();
@@ -486,38 +490,38 @@
         self.peers.ahead_of(now, self.staleness.own()).collect()
     }
 
-    /// The configuration in force.
+    /// Returns the current configuration.
     pub fn catalog(&self) -> Option<&Arc<Catalog>> {
         self.catalog.as_ref()
     }
 
-    /// The other entries known.
+    /// Returns the known peers.
     pub fn members(&self) -> Vec<Member> {
         self.peers.members().collect()
     }
 
-    /// The list of endpoints, for an entry that cannot read it.
+    /// Returns the list of endpoints, for a peer that cannot read the store.
     pub fn listing(&self) -> Listing {
         let (version, rows) = self.directory.versioned_rows();
         Listing { version, is_complete: true, rows }
     }
 
-    /// The endpoints known.
+    /// Returns the known endpoints.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// What is under way.
+    /// Returns the load of all endpoints.
     pub fn loads(&self) -> &Loads {
         &self.loads
     }
 
-    /// Tokens left, by customer.
+    /// Returns the tokens left by customer.
     pub fn tokens_left(&mut self, now: Time) -> BTreeMap<Arc<str>, i64> {
         self.rate_limiter.tokens_left(now)
     }
 
-    /// The entries that share the traffic, this one among them.
+    /// Returns the number of entries that share the traffic, including this one.
     pub fn entry_count(&self) -> u32 {
         self.peers.count()
     }
@@ -539,7 +543,7 @@
         Turn { rank: self.peers.position(), count: self.peers.count() }
     }
 
-    fn take(
+    fn assign(
         &mut self,
         now: Time,
         endpoint: Arc<Endpoint>,
@@ -550,13 +554,19 @@
         Assignment { endpoint, lease, tokens: 0, limit: Duration::ZERO }
     }
 
-    fn take_reader(&mut self, now: Time, endpoint: Arc<Endpoint>, prompt: u64, aim: Duration) -> Assignment {
+    fn assign_prefill(
+        &mut self,
+        now: Time,
+        endpoint: Arc<Endpoint>,
+        prompt: u64,
+        aim: Duration,
+    ) -> Assignment {
         let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.all(now).reading);
         let forecast = self.forecasts.endpoint(now, &endpoint.service, &endpoint.id);
         let tokens = ahead + prompt;
         let limit = forecast.reading_limit(tokens, aim);
         let share = Share { reading: prompt, ..Share::default() };
-        Assignment { tokens, limit, ..self.take(now, endpoint, share, None) }
+        Assignment { tokens, limit, ..self.assign(now, endpoint, share, None) }
     }
 }
 
