--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -1,8 +1,7 @@
-//! Decisions for requests that are passed on as they come: which route and customer they belong
-//! to, whether the customer may spend, where they run, and when they run again.
+//! Routing decisions of the gateway: authentication, rate limits, placement and retries.
 //!
-//! All entries decide alike from the same inputs: the operator's [`catalog`], the [`directory`] of
-//! endpoints, and the [`digest`]s that entries send each other. None of them waits for another.
+//! Several replicas of the gateway run side by side. Each decides alone, from the operator's
+//! [`catalog`], the [`directory`] of endpoints and the [`digest`]s that replicas exchange.
 
 pub mod budget;
 pub mod catalog;
--- a/crates/core/src/gateway/catalog.rs
+++ b/crates/core/src/gateway/catalog.rs
@@ -110,7 +110,7 @@
     pub name: Arc<str>,
     /// Overrides the route's priority.
     pub priority: Option<u8>,
-    /// Tokens per second over all entries; zero for no limit.
+    /// Tokens per second over all replicas; zero for no limit.
     pub rate: u64,
     /// Capacity of the token bucket, in tokens.
     pub burst: u64,
--- a/crates/core/src/gateway/digest.rs
+++ b/crates/core/src/gateway/digest.rs
@@ -1,4 +1,4 @@
-//! State that entries exchange in datagrams, and the list of peers.
+//! State that replicas exchange in datagrams, and the list of peers.
 //!
 //! A digest holds running totals instead of changes, so lost, repeated or reordered datagrams only
 //! delay what peers know.
@@ -16,7 +16,7 @@
 /// datagrams.
 const LIVENESS_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Load that one entry has placed on one endpoint.
+/// Load that one replica has placed on one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Share {
     /// Requests in flight.
@@ -38,7 +38,7 @@
     pub remaining: Duration,
 }
 
-/// Snapshot of an entry's state, sent to its peers.
+/// Snapshot of a replica's state, sent to its peers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Digest {
     /// Name of the sender.
@@ -65,11 +65,11 @@
     pub suspects: BTreeMap<u64, u32>,
     /// Versions of the sender's copy of the store.
     pub versions: Versions,
-    /// Forecasts by service, for entries that have just started; sent in every tenth digest.
+    /// Forecasts by service, for replicas that have just started; sent in every tenth digest.
     pub forecasts: BTreeMap<Arc<str>, Forecast>,
 }
 
-/// Name and digest address of an entry.
+/// Name and digest address of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Member {
     /// Unique name.
@@ -92,7 +92,7 @@
     versions: Versions,
 }
 
-/// The other entries.
+/// The other replicas.
 #[derive(Clone, Debug)]
 pub struct Peers {
     own: Arc<str>,
@@ -100,7 +100,7 @@
 }
 
 impl Peers {
-    /// Creates an empty list; `own` is the name of this entry.
+    /// Creates an empty list; `own` is the name of this replica.
     pub fn new(own: Arc<str>) -> Self {
         Self { own, peers: BTreeMap::new() }
     }
@@ -166,7 +166,7 @@
     }
 
     /// Returns the peers with a recent digest. Only these are passed on to others: otherwise,
-    /// entries would keep reminding each other of a peer that is gone.
+    /// replicas would keep reminding each other of a peer that is gone.
     pub fn live_members(&self, now: Time) -> impl Iterator<Item = Member> {
         let is_live = move |peer: &Peer| peer.serial > 0 && now.since(peer.last_contact) < LIVENESS_TIMEOUT;
         self.peers
@@ -182,17 +182,17 @@
         })
     }
 
-    /// Returns the number of entries, including this one.
+    /// Returns the number of replicas, including this one.
     pub fn count(&self) -> u32 {
         1 + self.peers.len() as u32
     }
 
-    /// Returns how many peers have names that sort before this entry's.
+    /// Returns how many peers have names that sort before this replica's.
     pub fn position(&self) -> u32 {
         self.peers.keys().filter(|name| **name < self.own).count() as u32
     }
 
-    /// Returns how many live peers have names that sort before this entry's.
+    /// Returns how many live peers have names that sort before this replica's.
     pub fn rank(&self, now: Time) -> u32 {
         self.live_members(now).filter(|member| member.name < self.own).count() as u32
     }
--- a/crates/core/src/gateway/directory.rs
+++ b/crates/core/src/gateway/directory.rs
@@ -236,7 +236,7 @@
         self.all().filter(move |endpoint| &*endpoint.service == service && !endpoint.is_draining)
     }
 
-    /// Returns the list version and rows, for an entry that cannot read the store. Lapsed endpoints
+    /// Returns the list version and rows, for a replica that cannot read the store. Lapsed endpoints
     /// are left out.
     pub fn versioned_rows(&self) -> (u64, Vec<Row>) {
         let current = self.records.iter().filter(|(_, record)| record.expires.is_none());
--- a/crates/core/src/gateway/health.rs
+++ b/crates/core/src/gateway/health.rs
@@ -1,4 +1,4 @@
-//! Health of an endpoint, judged by the outcomes of this entry's own requests.
+//! Health of an endpoint, judged by the outcomes of this replica's own requests.
 //!
 //! Status that an endpoint reports about itself arrives late and may be wrong. An unreachable
 //! endpoint is ejected for a while; an endpoint that fails more often than the others gets requests
@@ -39,7 +39,7 @@
     ReservationRejected,
     /// The endpoint had no memory for the request and did not run it.
     Full,
-    /// This entry cancelled the request; shows at most that the endpoint is slow.
+    /// This replica cancelled the request; shows at most that the endpoint is slow.
     Abandoned,
 }
 
--- a/crates/core/src/gateway/rate_limit.rs
+++ b/crates/core/src/gateway/rate_limit.rs
@@ -1,8 +1,8 @@
-//! Token-bucket rate limits for customers, enforced over all entries together.
+//! Token-bucket rate limits for customers, enforced over all replicas together.
 //!
-//! Every entry keeps the customer's whole token bucket. It subtracts its own spending and the
+//! Every replica keeps the customer's whole token bucket. It subtracts its own spending and the
 //! spending that peers report in digests. A peer that sends no digests is charged its even share of
-//! the rate, and charges this entry likewise, so that partitioned entries stay within the rate
+//! the rate, and charges this replica likewise, so that partitioned replicas stay within the rate
 //! together. The charge is corrected when the peer's next digest arrives.
 
 use std::{
@@ -60,7 +60,7 @@
 struct Account {
     /// Tokens per second; equally, microtokens per microsecond.
     rate: i64,
-    /// Microtokens; negative after concurrent spending by several entries.
+    /// Microtokens; negative after concurrent spending by several replicas.
     level: i64,
     /// Microtokens.
     burst: i64,
@@ -104,7 +104,7 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Whether spending should be reported immediately: entries that do not know of each other's
+    /// Whether spending should be reported immediately: replicas that do not know of each other's
     /// spending could overdraw a low bucket together.
     fn is_digest_urgent(&self) -> bool {
         let unreported = signed(self.spent.saturating_sub(self.reported)) * MICROTOKENS_PER_TOKEN;
@@ -159,17 +159,17 @@
         self.is_initialized = true;
     }
 
-    fn charge_silent_peer(&mut self, peer: &Arc<str>, passed: Duration, entries: u32) {
-        let share = signed(micros(passed)) * self.rate / i64::from(entries.max(1));
+    fn charge_silent_peer(&mut self, peer: &Arc<str>, passed: Duration, replicas: u32) {
+        let share = signed(micros(passed)) * self.rate / i64::from(replicas.max(1));
         self.peers.entry(peer.clone()).or_default().charged += share;
         self.level = (self.level - share).max(-self.burst);
     }
 }
 
-/// Totals of customers at one entry, for a digest.
+/// Totals of customers at one replica, for a digest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Tokens spent since the entry started.
+    /// Tokens spent since the replica started.
     pub spent: BTreeMap<Arc<str>, u64>,
     /// Whole tokens left, for the same customers.
     pub left: BTreeMap<Arc<str>, i64>,
@@ -321,7 +321,7 @@
         self.accounts.get(customer).map_or(0, |account| account.level / MICROTOKENS_PER_TOKEN)
     }
 
-    /// Returns the tokens left by customer, as this entry knows them.
+    /// Returns the tokens left by customer, as this replica knows them.
     pub fn tokens_left(&mut self, now: Time) -> BTreeMap<Arc<str>, i64> {
         let mut left = BTreeMap::new();
         for (name, account) in &mut self.accounts {
--- a/crates/core/src/gateway/snapshot.rs
+++ b/crates/core/src/gateway/snapshot.rs
@@ -1,11 +1,11 @@
-//! What an entry has read from the store, for a peer that cannot reach it.
+//! What a replica has read from the store, for a peer that cannot reach it.
 
 use std::sync::Arc;
 
 use super::{staleness::Versions, state::Listing};
 
 /// A copy of the store's contents. Versions are assigned by the store, so copies from different
-/// entries can be compared.
+/// replicas can be compared.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
     /// Versions of the contents.
--- a/crates/core/src/gateway/staleness.rs
+++ b/crates/core/src/gateway/staleness.rs
@@ -1,11 +1,11 @@
-//! Detects that this entry's copy of the store is older than those of its peers.
+//! Detects that this replica's copy of the store is older than those of its peers.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Time for which this entry may lack a version that a peer has. The store delivers a change to all
-/// entries at about the same time, but large rows take longer on slow links.
+/// Time for which this replica may lack a version that a peer has. The store delivers a change to all
+/// replicas at about the same time, but large rows take longer on slow links.
 const OVERDUE_AFTER: Duration = Duration::from_millis(1_000);
 
 /// Versions of a copy of the store.
@@ -27,11 +27,11 @@
 /// Versions of one part of the copy.
 #[derive(Clone, Copy, Debug, Default)]
 struct Part {
-    /// Newest version that this entry has completely.
+    /// Newest version that this replica has completely.
     own: u64,
     /// Newest version that a peer has.
     newest_peer: u64,
-    /// When this entry fell behind; set exactly while `own` is smaller than `newest_peer`.
+    /// When this replica fell behind; set exactly while `own` is smaller than `newest_peer`.
     behind_since: Option<Time>,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Versions that this entry has read, and versions that its peers have.
+/// Versions that this replica has read, and versions that its peers have.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Staleness {
     configuration: Part,
@@ -69,22 +69,22 @@
         self.endpoints.record_peer(now, versions.endpoints);
     }
 
-    /// Records that this entry has read a configuration.
+    /// Records that this replica has read a configuration.
     pub fn record_configuration(&mut self, now: Time, order: u64) {
         self.configuration.record_own(now, order);
     }
 
-    /// Records that this entry has read all endpoint rows up to a version.
+    /// Records that this replica has read all endpoint rows up to a version.
     pub fn record_endpoints(&mut self, now: Time, version: u64) {
         self.endpoints.record_own(now, version);
     }
 
-    /// Returns the versions that this entry has.
+    /// Returns the versions that this replica has.
     pub fn own(&self) -> Versions {
         Versions { configuration: self.configuration.own, endpoints: self.endpoints.own }
     }
 
-    /// Whether this entry has been behind its peers for too long.
+    /// Whether this replica has been behind its peers for too long.
     pub fn is_overdue(&self, now: Time) -> bool {
         self.configuration.is_overdue(now) || self.endpoints.is_overdue(now)
     }
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! The state that one entry's routing decisions are based on.
+//! The state that one replica's routing decisions are based on.
 //!
 //! It is owned by the control thread. `T` identifies the caller of a queued request.
 
@@ -38,7 +38,7 @@
 /// Number of digests per digest that carries forecasts.
 const DIGESTS_PER_FORECAST: u64 = 10;
 
-/// Identity of this entry.
+/// Identity of this replica.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Unique name.
@@ -94,15 +94,15 @@
 #[derive(Clone, Debug)]
 pub struct Pair {
     /// Decodes the answer.
-    pub run: Assignment,
+    pub decode: Assignment,
     /// Prefills the prompt; without one, the decode endpoint does.
-    pub reader: Option<Assignment>,
+    pub prefill: Option<Assignment>,
 }
 
 /// A request that leaves the queue, and its outcome.
 pub type Dispatched<T> = (Waiting<T>, Verdict<Pair>);
 
-/// The state of one entry.
+/// The state of one replica.
 #[derive(Debug)]
 pub struct State<T> {
     identity: Identity,
@@ -122,7 +122,7 @@
 }
 
 impl<T> State<T> {
-    /// Creates the state of an entry that starts now.
+    /// Creates the state of a replica that starts now.
     pub fn new(identity: Identity, retries: Rule, now: Time) -> Self {
         Self {
             peers: Peers::new(identity.name.clone()),
@@ -420,9 +420,9 @@
         let Pairing { endpoint, reader } = self.view(now).pair(service, &engine, &run)?;
         let reading = if reader.is_some() { 0 } else { size.prompt };
         let share = Share { running: 1, memory: *memory, reading, ..Share::default() };
-        let run = self.assign(now, endpoint, share, Some(Length { size: *size, spread }));
-        let reader = reader.map(|reader| self.assign_prefill(now, reader, size.prompt, *aim));
-        Some(Pair { run, reader })
+        let decode = self.assign(now, endpoint, share, Some(Length { size: *size, spread }));
+        let prefill = reader.map(|reader| self.assign_prefill(now, reader, size.prompt, *aim));
+        Some(Pair { decode, prefill })
     }
 
     /// Summarizes queue and decode pool of a service on one line, for refusals.
@@ -470,12 +470,12 @@
         self.catalog.is_some() && self.directory.is_loaded()
     }
 
-    /// Returns the versions of this entry's copy of the store.
+    /// Returns the versions of this replica's copy of the store.
     pub fn versions(&self) -> Versions {
         self.staleness.own()
     }
 
-    /// Whether a peer has a newer configuration than this entry.
+    /// Whether a peer has a newer configuration than this replica.
     pub fn is_configuration_stale(&self, now: Time) -> bool {
         let own = Versions { endpoints: u64::MAX, ..self.staleness.own() };
         self.peers.ahead_of(now, own).next().is_some()
@@ -521,8 +521,8 @@
         self.rate_limiter.tokens_left(now)
     }
 
-    /// Returns the number of entries that share the traffic, including this one.
-    pub fn entry_count(&self) -> u32 {
+    /// Returns the number of replicas that share the traffic, including this one.
+    pub fn replica_count(&self) -> u32 {
         self.peers.count()
     }
 
--- a/crates/core/src/gateway/suspect.rs
+++ b/crates/core/src/gateway/suspect.rs
@@ -2,7 +2,7 @@
 //!
 //! A request that was interrupted on an endpoint that then crashed is a suspect. After repeated crashes
 //! it is refused for a while. Crash counts are exchanged in digests and added up, since a caller
-//! may retry through another entry.
+//! may retry through another replica.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -15,7 +15,7 @@
 const SUSPECT_TTL: Duration = Duration::from_secs(120);
 /// Longest time between the end of a request and the detection of the crash that it is blamed for.
 const CRASH_WINDOW: Duration = Duration::from_secs(5);
-/// Most suspects that one entry keeps; further ones are ignored.
+/// Most suspects that one replica keeps; further ones are ignored.
 const MAX_SUSPECTS: usize = 200;
 
 #[derive(Clone, Copy, Debug)]
@@ -61,7 +61,7 @@
         own.map_or(0, |record| record.crashes) + peers.sum::<u32>() >= CRASH_LIMIT
     }
 
-    /// Returns this entry's crash counts, for its digest.
+    /// Returns this replica's crash counts, for its digest.
     pub fn report(&self, now: Time) -> BTreeMap<u64, u32> {
         let recent = self.own.iter().filter(|(_, record)| now.since(record.last_crash) < SUSPECT_TTL);
         recent.map(|(fingerprint, record)| (*fingerprint, record.crashes)).collect()
--- a/crates/core/tests/gateway/digest.rs
+++ b/crates/core/tests/gateway/digest.rs
@@ -23,9 +23,9 @@
     assert!(!peers.record_digest(at(3), &digest("b", 1, 9), from));
 }
 
-/// Guards against rejecting the digests of a restarted entry whose host clock was set back.
+/// Guards against rejecting the digests of a restarted replica whose host clock was set back.
 #[test]
-fn an_entry_that_restarts_with_an_earlier_clock_is_accepted() {
+fn a_replica_that_restarts_with_an_earlier_clock_is_accepted() {
     let mut peers = Peers::new("own".into());
     let from = member("b").address;
     assert!(peers.record_digest(at(0), &digest("b", 1_700_000_002_000, 5), from));
@@ -47,7 +47,7 @@
     assert_eq!(peers.count(), 3);
 }
 
-/// Guards against entries that keep reminding each other of a peer that is gone.
+/// Guards against replicas that keep reminding each other of a peer that is gone.
 #[test]
 fn a_peer_that_is_gone_is_removed_everywhere() {
     let (mut one, mut two) = (Peers::new("one".into()), Peers::new("two".into()));
--- a/crates/core/tests/gateway/rate_limit.rs
+++ b/crates/core/tests/gateway/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits enforced over several entries.
+//! Rate limits enforced over several replicas.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -76,12 +76,12 @@
     assert!(new.spend(at(10_100), "faculty", 200).is_err());
 }
 
-/// Guards against partitioned entries that each grant the full rate.
+/// Guards against partitioned replicas that each grant the full rate.
 #[test]
-fn partitioned_entries_stay_within_the_rate_together() {
+fn partitioned_replicas_stay_within_the_rate_together() {
     let faculty = Arc::new(customer("faculty", RATE, BURST));
     let names = ["e-1", "e-2", "e-3", "e-4"];
-    let mut entries: Vec<(RateLimiter, Peers)> = names
+    let mut replicas: Vec<(RateLimiter, Peers)> = names
         .iter()
         .map(|name| {
             let mut peers = Peers::new((*name).into());
@@ -94,14 +94,14 @@
         .collect();
     let mut spent = 0;
     for now in (0..8_000).step_by(100) {
-        for (rate_limiter, peers) in &mut entries {
+        for (rate_limiter, peers) in &mut replicas {
             rate_limiter.charge_silent_peers(at(now), peers);
             while rate_limiter.spend(at(now), "faculty", 50).is_ok() {
                 spent += 50;
             }
         }
     }
-    // Each entry grants its initial level, and the full rate until the others count as silent.
+    // Each replica grants its initial level, and the full rate until the others count as silent.
     let limit = 4 * (BURST / 4 + RATE) + 8 * RATE;
     assert!(spent <= limit, "{spent} of {limit}");
 }
@@ -111,22 +111,22 @@
 fn total_spending_stays_within_rate_and_burst() {
     fn property(steps: Vec<(u8, u8)>) -> TestResult {
         let faculty = Arc::new(customer("faculty", RATE, BURST));
-        let mut entries = [rate_limiter(&faculty), rate_limiter(&faculty), rate_limiter(&faculty)];
+        let mut replicas = [rate_limiter(&faculty), rate_limiter(&faculty), rate_limiter(&faculty)];
         let mut serials: BTreeMap<usize, u64> = BTreeMap::new();
         let mut spent = 0;
         let mut now = 0;
         for (actor, what) in steps {
-            let actor = usize::from(actor) % entries.len();
+            let actor = usize::from(actor) % replicas.len();
             now += 20;
             if what % 4 != 0 {
-                spent += entries[actor].spend(at(now), "faculty", 20).map_or(0, |()| 20);
+                spent += replicas[actor].spend(at(now), "faculty", 20).map_or(0, |()| 20);
                 continue;
             }
             let serial = serials.entry(actor).or_default();
             *serial += 1;
-            let digest = digest(["a", "b", "c"][actor], *serial, &mut entries[actor], now);
-            for (index, entry) in entries.iter_mut().enumerate().filter(|(index, _)| *index != actor) {
-                entry.apply_digest(at(now), &digest);
+            let digest = digest(["a", "b", "c"][actor], *serial, &mut replicas[actor], now);
+            for (index, replica) in replicas.iter_mut().enumerate().filter(|(index, _)| *index != actor) {
+                replica.apply_digest(at(now), &digest);
                 let _ = index;
             }
         }
@@ -157,9 +157,9 @@
     }
 }
 
-/// Guards against an entry that overwrites its own spending with the higher level of a peer.
+/// Guards against a replica that overwrites its own spending with the higher level of a peer.
 #[test]
-fn a_new_entry_keeps_its_spending_when_it_takes_over_a_level() {
+fn a_new_replica_keeps_its_spending_when_it_takes_over_a_level() {
     let faculty = Arc::new(customer("faculty", RATE, BURST));
     let (mut one, mut two) = (rate_limiter(&faculty), rate_limiter(&faculty));
     assert_eq!(one.spend(at(0), "faculty", BURST / 4), Ok(()));
@@ -194,7 +194,7 @@
     assert!((450_000..=517_000).contains(&used), "{used}");
 }
 
-/// Guards against entries that overdraw a low bucket together between two digests.
+/// Guards against replicas that overdraw a low bucket together between two digests.
 #[test]
 fn spending_from_a_low_bucket_makes_the_digest_urgent() {
     let mut rate_limiter = RateLimiter::new(at(0));
--- a/crates/core/tests/gateway/staleness.rs
+++ b/crates/core/tests/gateway/staleness.rs
@@ -1,4 +1,4 @@
-//! Tests of when an entry asks a peer for data that the store has not delivered.
+//! Tests of when a replica asks a peer for data that the store has not delivered.
 
 use tarragonhill_core::gateway::staleness::{Staleness, Versions};
 
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -83,10 +83,10 @@
         panic!("the first request is not placed")
     };
     assert!(state.dispatch(at(20)).is_empty());
-    let reader = pair.reader.expect("a prefill endpoint");
-    state.record_end(at(30), &reader.lease, Outcome::Abandoned);
+    let prefill = pair.prefill.expect("a prefill endpoint");
+    state.record_end(at(30), &prefill.lease, Outcome::Abandoned);
     assert!(state.dispatch(at(35)).is_empty());
-    state.record_end(at(36), &pair.run.lease, Outcome::Abandoned);
+    state.record_end(at(36), &pair.decode.lease, Outcome::Abandoned);
     assert!(matches!(&state.dispatch(at(40))[..], [(Waiting { tag: 2, .. }, Verdict::Placed(_))]));
 }
 
@@ -103,10 +103,10 @@
         Verdict::Hopeless => None,
     });
     let pairs: Vec<_> = pairs.collect();
-    let own: Vec<_> = pairs.iter().filter(|pair| pair.reader.is_none()).collect();
+    let own: Vec<_> = pairs.iter().filter(|pair| pair.prefill.is_none()).collect();
     // The prefill endpoint takes six prompts, the decode endpoint one; the last request waits.
     assert_eq!((pairs.len(), own.len()), (7, 1));
-    let mut lease = own[0].run.lease.clone();
+    let mut lease = own[0].decode.lease.clone();
     state.record_answer(at(200), &lease);
     lease.read();
     assert_eq!(state.dispatch(at(350)).len(), 1);
@@ -188,15 +188,15 @@
             state.enqueue(at(now), completion, 1);
             let placed = state.dispatch(at(now));
             let [(_, Verdict::Placed(pair))] = &placed[..] else { panic!("refused: {sheet:?}") };
-            state.record_end(at(now), &pair.run.lease, Outcome::Abandoned);
-            let reader = pair.reader.as_ref().expect("a reader");
-            state.record_end(at(now), &reader.lease, Outcome::Abandoned);
+            state.record_end(at(now), &pair.decode.lease, Outcome::Abandoned);
+            let prefill = pair.prefill.as_ref().expect("a prefill endpoint");
+            state.record_end(at(now), &prefill.lease, Outcome::Abandoned);
             observe_requests(&mut state, now, sheet);
         }
     }
 }
 
-/// Records some requests at the endpoints of an entry.
+/// Records some requests at the endpoints of a replica.
 fn observe_requests(state: &mut State<u32>, now: u64, sheet: Sheet) {
     let (reader, run) = (endpoint("p-1", Stage::Prefill), endpoint("d-1", Stage::Decode));
     let gap = Duration::from_micros(sheet.token_us * sheet.event_tokens);
@@ -226,9 +226,9 @@
     assert!(state.memory_retry_after("drafting") > Duration::from_millis(1_000));
 }
 
-/// Guards against a new entry without forecasts until it has seen requests of its own.
+/// Guards against a new replica without forecasts until it has seen requests of its own.
 #[test]
-fn a_new_entry_receives_forecasts_from_its_peers() {
+fn a_new_replica_receives_forecasts_from_its_peers() {
     let mut first = serving();
     observe_requests(&mut first, 0, SMALL);
     let digest =
--- a/crates/core/tests/gateway/suspect.rs
+++ b/crates/core/tests/gateway/suspect.rs
@@ -17,9 +17,9 @@
     suspects.record_crash(at(now + 300), &endpoint);
 }
 
-/// Guards against a request that crashes one endpoint after another through different entries.
+/// Guards against a request that crashes one endpoint after another through different replicas.
 #[test]
-fn a_request_that_crashed_two_endpoints_is_refused_by_every_entry() {
+fn a_request_that_crashed_two_endpoints_is_refused_by_every_replica() {
     let (mut one, mut two) = (Suspects::default(), Suspects::default());
     crash(&mut one, 0, "e-1", &[POISON, BYSTANDER]);
     assert!(!one.is_refused(at(400), POISON));
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -170,9 +170,9 @@
     }
 
     fn tickets(&self, pair: Pair) -> Option<Tickets> {
-        let Pair { run, reader } = pair;
-        let run = self.ticket(run)?;
-        Some(Tickets { run, reader: reader.and_then(|reader| self.ticket(reader)) })
+        let Pair { decode, prefill } = pair;
+        let run = self.ticket(decode)?;
+        Some(Tickets { run, reader: prefill.and_then(|prefill| self.ticket(prefill)) })
     }
 
     fn take(&mut self, command: Command) {
@@ -285,7 +285,7 @@
             "behind": lock(&self.shared.in_force).is_behind,
             "endpoints": endpoints,
             "left": self.state.tokens_left(now),
-            "sharers": self.state.entry_count(),
+            "sharers": self.state.replica_count(),
             "waiting": self.state.queue_length(),
             "forecasts": forecasts,
         })
