--- a/crates/core/src/gateway/catalog.rs
+++ b/crates/core/src/gateway/catalog.rs
@@ -235,8 +235,8 @@
         routes.iter().find(|route| path.starts_with(&*route.prefix)).ok_or(LookupError::Route)
     }
 
-    /// Returns the customer that owns an API key. Without a valid key, returns `None` if the route is
-    /// anonymous or the configuration has no customers.
+    /// Returns the customer that owns an API key. Without a valid key, returns `None` if the route
+    /// is anonymous or the configuration has no customers.
     pub fn authenticate(
         &self,
         route: &Route,
--- a/crates/core/src/gateway/digest.rs
+++ b/crates/core/src/gateway/digest.rs
@@ -8,8 +8,8 @@
 use super::{directory::Stage, forecast::Forecast, growth::Growth, staleness::Versions};
 use crate::clock::Time;
 
-/// Time without a digest after which a peer is removed. A host that is frozen or partitioned for a few
-/// seconds stays in the list.
+/// Time without a digest after which a peer is removed. A host that is frozen or partitioned for a
+/// few seconds stays in the list.
 const PEER_EXPIRY: Duration = Duration::from_secs(12);
 
 /// Time without a digest after which a peer is no longer passed on to others; tolerates lost
--- a/crates/core/src/gateway/directory.rs
+++ b/crates/core/src/gateway/directory.rs
@@ -96,7 +96,7 @@
     /// Version of the newest row.
     newest_row: u64,
     /// When the store became reachable again after an outage.
-    store_returned: Option<Time>,
+    store_recovered: Option<Time>,
     is_store_unreachable: bool,
 }
 
@@ -109,7 +109,7 @@
     /// Marks the store as reachable.
     pub fn mark_store_reachable(&mut self, now: Time) {
         if std::mem::take(&mut self.is_store_unreachable) {
-            self.store_returned = Some(now);
+            self.store_recovered = Some(now);
         }
     }
 
@@ -204,7 +204,7 @@
         previous: Option<Arc<Endpoint>>,
     ) -> Option<Change> {
         let grace =
-            self.store_returned.map(|returned| returned.plus(LAPSE_GRACE)).filter(|until| *until > now);
+            self.store_recovered.map(|recovered| recovered.plus(LAPSE_GRACE)).filter(|until| *until > now);
         let may_return = previous.as_ref().is_some_and(|endpoint| !endpoint.is_draining);
         let expires = grace.filter(|_| may_return);
         let kept = previous.clone().filter(|_| expires.is_some());
@@ -236,8 +236,8 @@
         self.all().filter(move |endpoint| &*endpoint.service == service && !endpoint.is_draining)
     }
 
-    /// Returns the list version and rows, for a replica that cannot read the store. Lapsed endpoints
-    /// are left out.
+    /// Returns the list version and rows, for a replica that cannot read the store. Lapsed
+    /// endpoints are left out.
     pub fn versioned_rows(&self) -> (u64, Vec<Row>) {
         let current = self.records.iter().filter(|(_, record)| record.expires.is_none());
         let rows = current.filter_map(|(id, record)| {
--- a/crates/core/src/gateway/health.rs
+++ b/crates/core/src/gateway/health.rs
@@ -114,13 +114,13 @@
         self.failure_ratio * fading(now.since(self.updated), FAILURE_HALF_LIFE)
     }
 
-    /// Whether it should get no requests for now.
+    /// Whether the endpoint should get no requests for now.
     pub fn is_ejected(&self, now: Time) -> bool {
         self.ejected_until > now
     }
 
-    /// Returns the mean time until an answer begins, or the longest current wait if that is more: an endpoint that
-    /// hangs completes nothing that would raise the mean.
+    /// Returns the mean time until an answer begins, or the longest current wait if that is more:
+    /// an endpoint that hangs completes nothing that would raise the mean.
     pub fn answer_time(&self, now: Time) -> Duration {
         self.answer_time.max(self.longest_wait(now))
     }
--- a/crates/core/src/gateway/rate_limit.rs
+++ b/crates/core/src/gateway/rate_limit.rs
@@ -139,8 +139,8 @@
         Duration::from_micros(wait).max(MIN_RETRY_AFTER)
     }
 
-    /// Subtracts what a peer spent since its previous total, and returns the charge for its silence.
-    /// The first total of a peer only sets the baseline.
+    /// Subtracts what a peer spent since its previous total, and returns the charge for its
+    /// silence. The first total of a peer only sets the baseline.
     fn apply_total(&mut self, peer: &Arc<str>, incarnation: u64, spent: u64) {
         let usage = self.peers.entry(peer.clone()).or_insert(PeerUsage { incarnation, spent, charged: 0 });
         let before = if usage.incarnation == incarnation { usage.spent } else { 0 };
--- a/crates/core/src/gateway/staleness.rs
+++ b/crates/core/src/gateway/staleness.rs
@@ -4,8 +4,8 @@
 
 use crate::clock::Time;
 
-/// Time for which this replica may lack a version that a peer has. The store delivers a change to all
-/// replicas at about the same time, but large rows take longer on slow links.
+/// Time for which this replica may lack a version that a peer has. The store delivers a change to
+/// all replicas at about the same time, but large rows take longer on slow links.
 const OVERDUE_AFTER: Duration = Duration::from_millis(1_000);
 
 /// Versions of a copy of the store.
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -35,7 +35,7 @@
 /// Pause between two prefills on a decode endpoint, in event gaps of its runs, so that one event is
 /// not delayed by both.
 const PREFILL_PAUSE_EVENTS: u32 = 2;
-/// Number of digests per digest that carries forecasts.
+/// One in this many digests carries forecasts.
 const DIGESTS_PER_FORECAST: u64 = 10;
 
 /// Identity of this replica.
@@ -335,7 +335,7 @@
             self.pools.note(now, &completion.service, engine, completion.size);
         }
         let mut waiting = completion.queued(&forecast, tag);
-        // A request that is larger than an endpoint's memory runs alone.
+        // A request that needs more than an endpoint's memory runs alone, with all of it.
         waiting.memory = waiting.memory.min(engine.map_or(u64::MAX, |engine| engine.memory));
         self.line.push(waiting);
     }
--- a/crates/core/src/gateway/suspect.rs
+++ b/crates/core/src/gateway/suspect.rs
@@ -1,8 +1,8 @@
 //! Quarantine of requests that crash endpoints.
 //!
-//! A request that was interrupted on an endpoint that then crashed is a suspect. After repeated crashes
-//! it is refused for a while. Crash counts are exchanged in digests and added up, since a caller
-//! may retry through another replica.
+//! A request that was interrupted on an endpoint that then crashed is a suspect. After repeated
+//! crashes it is refused for a while. Crash counts are exchanged in digests and added up, since a
+//! caller may retry through another replica.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -13,7 +13,8 @@
 const CRASH_LIMIT: u32 = 2;
 /// Time after the last crash until a suspect is forgotten.
 const SUSPECT_TTL: Duration = Duration::from_secs(120);
-/// Longest time between the end of a request and the detection of the crash that it is blamed for.
+/// Longest time from the interruption of a request to the detection of a crash that counts against
+/// it.
 const CRASH_WINDOW: Duration = Duration::from_secs(5);
 /// Most suspects that one replica keeps; further ones are ignored.
 const MAX_SUSPECTS: usize = 200;
