--- a/crates/core/src/gateway/completion.rs
+++ b/crates/core/src/gateway/completion.rs
@@ -4,7 +4,7 @@
 
 use super::{
     forecast::{Forecast, Size, memory},
-    line::Waiting,
+    queue::Entry,
 };
 use crate::clock::Time;
 
@@ -51,19 +51,19 @@
 
 impl Completion {
     /// The completion as it waits in the queue: how late it may start, by what is known of its service.
-    pub(super) fn queued<T>(self, forecast: &Forecast, tag: T) -> Waiting<T> {
+    pub(super) fn into_entry<T>(self, forecast: &Forecast, tag: T) -> Entry<T> {
         let Self { service, size, received, ends, aim, gap, silence, priority, avoid } = self;
-        let aim = declared(aim);
+        let aim = target_or_default(aim);
         // The caller leaves at its deadline, and before it if it sees no event for too long.
-        let in_time = ends.minus(forecast.certain_time(size));
-        let in_patience = received.plus(silence).minus(forecast.certain_first(size.prompt));
-        Waiting {
+        let by_deadline = ends.minus(forecast.certain_time(size));
+        let by_silence = received.plus(silence).minus(forecast.certain_first(size.prompt));
+        Entry {
             tag,
             service,
             size,
             memory: memory(size.prompt, size.expected),
-            on_time: received.plus(aim).minus(forecast.certain_first(size.prompt)),
-            last_start: in_time.min(in_patience),
+            soft_deadline: received.plus(aim).minus(forecast.certain_first(size.prompt)),
+            hard_deadline: by_deadline.min(by_silence),
             priority,
             gap,
             aim,
@@ -73,6 +73,6 @@
 }
 
 /// The aim that an operator declared, or one in its place.
-pub(super) fn declared(aim: Duration) -> Duration {
+pub(super) fn target_or_default(aim: Duration) -> Duration {
     if aim.is_zero() { UNDECLARED_AIM } else { aim }
 }
--- a/crates/core/src/gateway/line.rs
+++ b/crates/core/src/gateway/queue.rs
@@ -13,7 +13,7 @@
 
 /// A request in the line.
 #[derive(Clone, Debug)]
-pub struct Waiting<T> {
+pub struct Entry<T> {
     /// Whom to answer.
     pub tag: T,
     /// The service.
@@ -23,9 +23,9 @@
     /// Memory that it takes on average, tokens.
     pub memory: u64,
     /// A start later than this is late.
-    pub on_time: Time,
+    pub soft_deadline: Time,
     /// A start later than this cannot end before the caller has left.
-    pub last_start: Time,
+    pub hard_deadline: Time,
     /// 0 is the most urgent.
     pub priority: u8,
     /// Longest pause between its events that is on time; zero if none is declared.
@@ -36,14 +36,14 @@
     pub avoid: Vec<Arc<str>>,
 }
 
-impl<T> Waiting<T> {
+impl<T> Entry<T> {
     /// Whether its first event cannot be on time any more.
     pub fn is_late(&self, now: Time) -> bool {
-        self.on_time < now
+        self.soft_deadline < now
     }
 
     fn rank(&self, now: Time) -> (bool, u8, Time) {
-        (self.is_late(now), self.priority, self.on_time)
+        (self.is_late(now), self.priority, self.soft_deadline)
     }
 }
 
@@ -53,23 +53,23 @@
     /// It runs there.
     Placed(P),
     /// It cannot end in time any more.
-    Hopeless,
+    Expired,
 }
 
 /// The line.
 #[derive(Clone, Debug)]
-pub struct Line<T>(Vec<Waiting<T>>);
+pub struct Queue<T>(Vec<Entry<T>>);
 
-impl<T> Default for Line<T> {
+impl<T> Default for Queue<T> {
     fn default() -> Self {
         Self(Vec::new())
     }
 }
 
-impl<T> Line<T> {
+impl<T> Queue<T> {
     /// Adds a request.
-    pub fn push(&mut self, waiting: Waiting<T>) {
-        self.0.push(waiting);
+    pub fn push(&mut self, entry: Entry<T>) {
+        self.0.push(entry);
     }
 
     /// How many wait.
@@ -84,34 +84,34 @@
 
     /// Drops those whose callers are gone.
     pub fn retain(&mut self, keep: impl Fn(&T) -> bool) {
-        self.0.retain(|waiting| keep(&waiting.tag));
+        self.0.retain(|entry| keep(&entry.tag));
     }
 
     /// Places whom `place` finds room for, in order, up to the first of each service that finds
     /// none, and gives up those that wait in vain.
-    pub fn pump<P>(
+    pub fn dispatch<P>(
         &mut self,
         now: Time,
-        mut place: impl FnMut(&Waiting<T>) -> Option<P>,
-    ) -> Vec<(Waiting<T>, Verdict<P>)> {
-        self.0.sort_by_key(|waiting| waiting.rank(now));
+        mut place: impl FnMut(&Entry<T>) -> Option<P>,
+    ) -> Vec<(Entry<T>, Verdict<P>)> {
+        self.0.sort_by_key(|entry| entry.rank(now));
         let mut verdicts = Vec::new();
         let mut blocked: Vec<Arc<str>> = Vec::new();
         let mut left = Vec::new();
-        for waiting in std::mem::take(&mut self.0) {
-            if waiting.last_start < now {
-                verdicts.push((waiting, Verdict::Hopeless));
+        for entry in std::mem::take(&mut self.0) {
+            if entry.hard_deadline < now {
+                verdicts.push((entry, Verdict::Expired));
                 continue;
             }
-            if blocked.contains(&waiting.service) {
-                left.push(waiting);
+            if blocked.contains(&entry.service) {
+                left.push(entry);
                 continue;
             }
-            match place(&waiting) {
-                Some(found) => verdicts.push((waiting, Verdict::Placed(found))),
+            match place(&entry) {
+                Some(found) => verdicts.push((entry, Verdict::Placed(found))),
                 None => {
-                    blocked.push(waiting.service.clone());
-                    left.push(waiting);
+                    blocked.push(entry.service.clone());
+                    left.push(entry);
                 }
             }
         }
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -8,16 +8,16 @@
     allowance::{Allowance, Totals},
     budget::{Budget, Rule},
     catalog::{Catalog, Customer, Engine},
-    completion::{Completion, Prompt, declared},
+    completion::{Completion, Prompt, target_or_default},
     digest::{Digest, Member, Peers, Share},
     directory::{Change, Directory, Endpoint, Row, Stage},
     forecast::{Forecast, Forecasts, Observation},
     growth::Growth,
     health::Outcome,
-    line::{Line, Verdict, Waiting},
     load::{Lease, Length, Loads},
     placement::{Pairing, Reader, Run, Turn, View, spare},
     pools::{Known, Order, Pools},
+    queue::{Entry, Queue, Verdict},
     staleness::{Staleness, Versions},
     suspect::Suspects,
 };
@@ -98,7 +98,7 @@
 }
 
 /// Whom to answer, and how.
-pub type Placed<T> = (Waiting<T>, Verdict<Pair>);
+pub type Placed<T> = (Entry<T>, Verdict<Pair>);
 
 /// The state of one entry.
 #[derive(Debug)]
@@ -112,7 +112,7 @@
     allowance: Allowance,
     budget: Budget,
     peers: Peers,
-    line: Line<T>,
+    line: Queue<T>,
     suspects: Suspects,
     pools: Pools,
     forecasts: Forecasts,
@@ -131,7 +131,7 @@
             loads: Loads::default(),
             allowance: Allowance::new(now),
             budget: Budget::new(retries, now),
-            line: Line::default(),
+            line: Queue::default(),
             suspects: Suspects::default(),
             pools: Pools::default(),
             forecasts: Forecasts::default(),
@@ -312,7 +312,7 @@
     /// A further endpoint that reads a prompt; none if none can.
     pub fn prefill(&mut self, now: Time, prompt: &Prompt) -> Option<Place> {
         let Prompt { service, tokens, aim, zone, avoid } = prompt;
-        let aim = declared(*aim);
+        let aim = target_or_default(*aim);
         let Reader::Endpoint(endpoint) = self.view(now).prefill(service, *tokens, aim, zone, avoid) else {
             return None;
         };
@@ -326,7 +326,7 @@
         if let Some(engine) = &engine {
             self.pools.note(now, &completion.service, engine, completion.size);
         }
-        let mut waiting = completion.queued(&forecast, tag);
+        let mut waiting = completion.into_entry(&forecast, tag);
         // What is larger than an endpoint's memory runs alone, as far as its answer fits.
         waiting.memory = waiting.memory.min(engine.map_or(u64::MAX, |engine| engine.memory));
         self.line.push(waiting);
@@ -391,14 +391,14 @@
             return Vec::new();
         }
         let mut line = std::mem::take(&mut self.line);
-        let placed = line.pump(now, |waiting| self.place(now, waiting));
+        let placed = line.dispatch(now, |waiting| self.place(now, waiting));
         self.line = line;
         placed
     }
 
     /// Takes the places of a completion; none if it has to wait.
-    fn place(&mut self, now: Time, waiting: &Waiting<T>) -> Option<Pair> {
-        let Waiting { service, size, memory, gap, aim, avoid, .. } = waiting;
+    fn place(&mut self, now: Time, waiting: &Entry<T>) -> Option<Pair> {
+        let Entry { service, size, memory, gap, aim, avoid, .. } = waiting;
         let engine = self.engine(service)?;
         let spread = self.forecasts.service(service).lengths().spread;
         let run = Run {
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -11,7 +11,7 @@
         directory::Stage,
         forecast::{Observation, Size},
         health::Outcome,
-        line::{Verdict, Waiting},
+        queue::{Entry, Verdict},
         state::{Admission, Identity, Listing, State},
     },
     refusal::Code,
@@ -80,7 +80,7 @@
     state.line_up(at(0), completion(40_000), 2);
     let mut first = state.pump(at(10));
     assert_eq!(first.len(), 1);
-    let Some((Waiting { tag: 1, .. }, Verdict::Placed(place))) = first.pop() else {
+    let Some((Entry { tag: 1, .. }, Verdict::Placed(place))) = first.pop() else {
         panic!("the first is placed")
     };
     assert!(state.pump(at(20)).is_empty());
@@ -88,7 +88,7 @@
     state.ended(at(30), &reader.lease, Outcome::Abandoned);
     assert!(state.pump(at(35)).is_empty());
     state.ended(at(36), &place.run.lease, Outcome::Abandoned);
-    assert!(matches!(&state.pump(at(40))[..], [(Waiting { tag: 2, .. }, Verdict::Placed(_))]));
+    assert!(matches!(&state.pump(at(40))[..], [(Entry { tag: 2, .. }, Verdict::Placed(_))]));
 }
 
 /// A burst keeps the only reader busy for half a second, and callers wait for it and come out late,
@@ -102,7 +102,7 @@
     let placed = state.pump(at(10));
     let pairs = placed.iter().filter_map(|(_, verdict)| match verdict {
         Verdict::Placed(pair) => Some(pair),
-        Verdict::Hopeless => None,
+        Verdict::Expired => None,
     });
     let pairs: Vec<_> = pairs.collect();
     let own: Vec<_> = pairs.iter().filter(|pair| pair.reader.is_none()).collect();
@@ -223,7 +223,7 @@
     show(&mut state, 0, SMALL);
     let size = Size { prompt: 5_000, expected: 12_000, most: 12_000 };
     state.line_up(at(10), Completion { size, ..completion(0) }, 1);
-    assert!(matches!(&state.pump(at(10))[..], [(_, Verdict::Hopeless)]));
+    assert!(matches!(&state.pump(at(10))[..], [(_, Verdict::Expired)]));
     assert!(state.memory_free_after("drafting") > Duration::from_millis(1_000));
 }
 
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -20,8 +20,8 @@
         forecast::Forecast,
         health::Outcome,
         knowledge::Knowledge,
-        line::Verdict,
         pools::Order,
+        queue::Verdict,
         state::{Identity, Pair, Place, State},
     },
     refusal::Code,
@@ -155,7 +155,7 @@
         for (waiting, verdict) in self.state.pump(now) {
             let placing = match verdict {
                 Verdict::Placed(pair) => self.tickets(pair).ok_or_else(stopping),
-                Verdict::Hopeless => Err(self.overloaded(now, &waiting.service)),
+                Verdict::Expired => Err(self.overloaded(now, &waiting.service)),
             };
             // A ticket whose asker is gone is dropped here, which gives it back.
             let _ = waiting.tag.try_send(placing);
