--- a/crates/core/src/gateway/completion.rs
+++ b/crates/core/src/gateway/completion.rs
@@ -9,7 +9,7 @@
 use crate::clock::Time;
 
 /// Time to the first event that is taken for on time where the operator declares none.
-const UNDECLARED_AIM: Duration = Duration::from_secs(1);
+const DEFAULT_TTFT_TARGET: Duration = Duration::from_secs(1);
 
 /// A prompt that is to be read.
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
     /// Its tokens.
     pub tokens: u64,
     /// Time to the first event that is on time.
-    pub aim: Duration,
+    pub ttft_target: Duration,
     /// The availability zone where the result goes.
     pub zone: Arc<str>,
     /// Endpoints that have failed it.
@@ -36,9 +36,9 @@
     /// When it had been read.
     pub received: Time,
     /// When the caller or the operator gives up.
-    pub ends: Time,
+    pub deadline: Time,
     /// Time to the first event that is on time.
-    pub aim: Duration,
+    pub ttft_target: Duration,
     /// Longest pause between events that is on time; zero if none is declared.
     pub gap: Duration,
     /// How long the caller bears to see no event.
@@ -52,27 +52,27 @@
 impl Completion {
     /// The completion as it waits in the queue: how late it may start, by what is known of its service.
     pub(super) fn into_entry<T>(self, forecast: &Forecast, tag: T) -> Entry<T> {
-        let Self { service, size, received, ends, aim, gap, silence, priority, avoid } = self;
-        let aim = target_or_default(aim);
+        let Self { service, size, received, deadline, ttft_target, gap, silence, priority, avoid } = self;
+        let ttft_target = target_or_default(ttft_target);
         // The caller leaves at its deadline, and before it if it sees no event for too long.
-        let by_deadline = ends.minus(forecast.certain_time(size));
+        let by_deadline = deadline.minus(forecast.certain_time(size));
         let by_silence = received.plus(silence).minus(forecast.certain_first(size.prompt));
         Entry {
             tag,
             service,
             size,
             memory: memory(size.prompt, size.expected),
-            soft_deadline: received.plus(aim).minus(forecast.certain_first(size.prompt)),
+            soft_deadline: received.plus(ttft_target).minus(forecast.certain_first(size.prompt)),
             hard_deadline: by_deadline.min(by_silence),
             priority,
             gap,
-            aim,
+            ttft_target,
             avoid,
         }
     }
 }
 
 /// The aim that an operator declared, or one in its place.
-pub(super) fn target_or_default(aim: Duration) -> Duration {
-    if aim.is_zero() { UNDECLARED_AIM } else { aim }
+pub(super) fn target_or_default(ttft_target: Duration) -> Duration {
+    if ttft_target.is_zero() { DEFAULT_TTFT_TARGET } else { ttft_target }
 }
--- a/crates/core/src/gateway/placement.rs
+++ b/crates/core/src/gateway/placement.rs
@@ -21,7 +21,7 @@
 /// An answer from another availability zone counts this much slower, so that the own zone is taken
 /// where both are alike: bytes between zones cost.
 const CROSS_ZONE: f64 = 1.2;
-/// A prompt is read in another zone only to save waiting for this part of its aim: moving its result
+/// A prompt is read in another zone only to save waiting for this part of its ttft_target: moving its result
 /// costs twice there.
 const CROSS_ZONE_READING: f64 = 0.06;
 /// Part of a prompt's aim that reading what is ahead of it may take. With more it would be late, and
@@ -63,7 +63,7 @@
     /// Longest pause between events that is on time; zero if none is declared.
     pub gap: Duration,
     /// Time to the first event that is on time.
-    pub aim: Duration,
+    pub ttft_target: Duration,
     /// Endpoints that have failed it.
     pub avoid: &'a [Arc<str>],
 }
@@ -151,8 +151,8 @@
     }
 
     /// Whether an endpoint has kept a prompt for so long that it has probably gone dark.
-    fn is_stalled(&self, endpoint: &Endpoint, aim: Duration) -> bool {
-        let longest = aim.mul_f64(STALLED);
+    fn is_stalled(&self, endpoint: &Endpoint, ttft_target: Duration) -> bool {
+        let longest = ttft_target.mul_f64(STALLED);
         self.load(endpoint).is_some_and(|load| load.health.longest_wait(self.now) > longest)
     }
 
@@ -187,14 +187,14 @@
         &self,
         service: &str,
         prompt: u64,
-        aim: Duration,
+        ttft_target: Duration,
         zone: &str,
         avoid: &[Arc<str>],
     ) -> Reader {
-        let detour = aim.mul_f64(CROSS_ZONE_READING);
+        let detour = ttft_target.mul_f64(CROSS_ZONE_READING);
         let mut candidates = self.candidates(service, Stage::Prefill, avoid);
-        if candidates.iter().any(|endpoint| !self.is_stalled(endpoint, aim)) {
-            candidates.retain(|endpoint| !self.is_stalled(endpoint, aim));
+        if candidates.iter().any(|endpoint| !self.is_stalled(endpoint, ttft_target)) {
+            candidates.retain(|endpoint| !self.is_stalled(endpoint, ttft_target));
         }
         let timed = candidates.into_iter().map(|endpoint| (self.reading_times(endpoint, prompt), endpoint));
         let first = timed.min_by_key(
@@ -204,7 +204,7 @@
         );
         match first {
             None => Reader::Nobody,
-            Some(((busy, _), _)) if busy > aim.mul_f64(MOST_AHEAD) => Reader::Busy,
+            Some(((busy, _), _)) if busy > ttft_target.mul_f64(MOST_AHEAD) => Reader::Busy,
             Some((_, endpoint)) => Reader::Endpoint(endpoint.clone()),
         }
     }
@@ -212,7 +212,7 @@
     /// Where a run goes, and who reads its prompt; nothing if it has to wait.
     pub fn pair(&self, service: &str, engine: &Engine, run: &Run<'_>) -> Option<Pairing> {
         let endpoint = self.decode(service, engine, run)?;
-        match self.prefill(service, run.prompt, run.aim, &endpoint.zone, &[]) {
+        match self.prefill(service, run.prompt, run.ttft_target, &endpoint.zone, &[]) {
             Reader::Endpoint(reader) => Some(Pairing { endpoint, reader: Some(reader) }),
             Reader::Nobody => Some(Pairing { endpoint, reader: None }),
             Reader::Busy => {
--- a/crates/core/src/gateway/queue.rs
+++ b/crates/core/src/gateway/queue.rs
@@ -31,7 +31,7 @@
     /// Longest pause between its events that is on time; zero if none is declared.
     pub gap: Duration,
     /// Time to its first event that is on time.
-    pub aim: Duration,
+    pub ttft_target: Duration,
     /// Endpoints that have failed it.
     pub avoid: Vec<Arc<str>>,
 }
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -311,12 +311,13 @@
 
     /// A further endpoint that reads a prompt; none if none can.
     pub fn prefill(&mut self, now: Time, prompt: &Prompt) -> Option<Place> {
-        let Prompt { service, tokens, aim, zone, avoid } = prompt;
-        let aim = target_or_default(*aim);
-        let Reader::Endpoint(endpoint) = self.view(now).prefill(service, *tokens, aim, zone, avoid) else {
+        let Prompt { service, tokens, ttft_target, zone, avoid } = prompt;
+        let ttft_target = target_or_default(*ttft_target);
+        let Reader::Endpoint(endpoint) = self.view(now).prefill(service, *tokens, ttft_target, zone, avoid)
+        else {
             return None;
         };
-        Some(self.take_reader(now, endpoint, *tokens, aim))
+        Some(self.take_reader(now, endpoint, *tokens, ttft_target))
     }
 
     /// Lines a completion up for a decode endpoint; whoever is placed then comes out of [`Self::pump`].
@@ -398,7 +399,7 @@
 
     /// Takes the places of a completion; none if it has to wait.
     fn place(&mut self, now: Time, waiting: &Entry<T>) -> Option<Pair> {
-        let Entry { service, size, memory, gap, aim, avoid, .. } = waiting;
+        let Entry { service, size, memory, gap, ttft_target, avoid, .. } = waiting;
         let engine = self.engine(service)?;
         let spread = self.forecasts.service(service).lengths().spread;
         let run = Run {
@@ -406,14 +407,14 @@
             growth: Growth::of(*size, 0, spread),
             spare: spare(&engine, waiting.is_late(now)),
             gap: *gap,
-            aim: *aim,
+            ttft_target: *ttft_target,
             avoid,
         };
         let Pairing { endpoint, reader } = self.view(now).pair(service, &engine, &run)?;
         let reading = if reader.is_some() { 0 } else { size.prompt };
         let share = Share { running: 1, memory: *memory, reading, ..Share::default() };
         let run = self.take(now, endpoint, share, Some(Length { size: *size, spread }));
-        let reader = reader.map(|reader| self.take_reader(now, reader, size.prompt, *aim));
+        let reader = reader.map(|reader| self.take_reader(now, reader, size.prompt, *ttft_target));
         Some(Pair { run, reader })
     }
 
@@ -539,11 +540,17 @@
         Place { endpoint, lease, tokens: 0, limit: Duration::ZERO }
     }
 
-    fn take_reader(&mut self, now: Time, endpoint: Arc<Endpoint>, prompt: u64, aim: Duration) -> Place {
+    fn take_reader(
+        &mut self,
+        now: Time,
+        endpoint: Arc<Endpoint>,
+        prompt: u64,
+        ttft_target: Duration,
+    ) -> Place {
         let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.all(now).reading);
         let forecast = self.forecasts.endpoint(now, &endpoint.service, &endpoint.id);
         let tokens = ahead + prompt;
-        let limit = forecast.reading_limit(tokens, aim);
+        let limit = forecast.reading_limit(tokens, ttft_target);
         let share = Share { reading: prompt, ..Share::default() };
         Place { tokens, limit, ..self.take(now, endpoint, share, None) }
     }
--- a/crates/core/tests/gateway/forecast.rs
+++ b/crates/core/tests/gateway/forecast.rs
@@ -7,7 +7,7 @@
 use crate::{SMALL, Sheet, at, learned, teach};
 
 /// Time to a first event that is on time.
-const AIM: Duration = Duration::from_millis(900);
+const TTFT_TARGET: Duration = Duration::from_millis(900);
 
 fn small() -> Forecast {
     learned(SMALL).service("drafting")
@@ -46,8 +46,8 @@
 /// Behind a long backlog the same wait is in order, and a second reading would be in vain.
 #[test]
 fn a_prompt_is_asked_elsewhere_in_time_unless_others_are_ahead() {
-    assert!(small().reading_limit(5_000, AIM) <= Duration::from_millis(600));
-    assert!(small().reading_limit(27_000, AIM) >= Duration::from_millis(1_300));
+    assert!(small().reading_limit(5_000, TTFT_TARGET) <= Duration::from_millis(600));
+    assert!(small().reading_limit(27_000, TTFT_TARGET) >= Duration::from_millis(1_300));
 }
 
 /// Whether a time is within a tenth of what it should be.
@@ -94,8 +94,8 @@
     let mut forecasts = learned(SMALL);
     let real = Duration::from_micros(10 * SMALL.prompt_us * 5_000);
     let mut given_up = 0;
-    while forecasts.service("drafting").reading_limit(5_000, AIM) < real {
-        let waited = forecasts.service("drafting").reading_limit(5_000, AIM);
+    while forecasts.service("drafting").reading_limit(5_000, TTFT_TARGET) < real {
+        let waited = forecasts.service("drafting").reading_limit(5_000, TTFT_TARGET);
         let unread = Observation::Unread { tokens: 5_000, waited };
         forecasts.note(at(1_000), &"drafting".into(), &"e-1".into(), 0, unread);
         forecasts.settle();
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -52,8 +52,8 @@
         service: "drafting".into(),
         size: Size { prompt: memory, expected: 0, most: 0 },
         received: at(0),
-        ends: at(14_000),
-        aim: Duration::from_millis(900),
+        deadline: at(14_000),
+        ttft_target: Duration::from_millis(900),
         gap: Duration::from_millis(300),
         silence: Duration::from_millis(3_600),
         priority: 1,
@@ -188,7 +188,8 @@
         let answer = 10_000_000 / sheet.token_us;
         let size = Size { prompt: 5_000, expected: answer, most: answer * 2 };
         for now in [0, 1_000] {
-            let completion = Completion { size, received: at(now), ends: at(now + 14_000), ..completion(0) };
+            let completion =
+                Completion { size, received: at(now), deadline: at(now + 14_000), ..completion(0) };
             state.line_up(at(now), completion, 1);
             let placed = state.pump(at(now));
             let [(_, Verdict::Placed(pair))] = &placed[..] else { panic!("refused: {sheet:?}") };
--- a/crates/gateway/src/stream/reading.rs
+++ b/crates/gateway/src/stream/reading.rs
@@ -47,7 +47,7 @@
         let prompt = Prompt {
             service: inbound.service().clone(),
             tokens: inbound.size().prompt,
-            aim: inbound.route.aim,
+            ttft_target: inbound.route.aim,
             zone: zone.clone(),
             avoid: avoid.clone(),
         };
