--- a/crates/core/src/gateway/completion.rs
+++ b/crates/core/src/gateway/completion.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use super::{
-    forecast::{Forecast, Size, memory},
+    forecast::{Forecast, Size, mean_memory},
     queue::Entry,
 };
 use crate::clock::Time;
@@ -55,14 +55,14 @@
         let Self { service, size, received, deadline, ttft_target, gap, silence, priority, avoid } = self;
         let ttft_target = target_or_default(ttft_target);
         // The caller leaves at its deadline, and before it if it sees no event for too long.
-        let by_deadline = deadline.minus(forecast.certain_time(size));
-        let by_silence = received.plus(silence).minus(forecast.certain_first(size.prompt));
+        let by_deadline = deadline.minus(forecast.known_total_time(size));
+        let by_silence = received.plus(silence).minus(forecast.known_first_event_time(size.prompt));
         Entry {
             tag,
             service,
             size,
-            memory: memory(size.prompt, size.expected),
-            soft_deadline: received.plus(ttft_target).minus(forecast.certain_first(size.prompt)),
+            memory: mean_memory(size.prompt, size.expected),
+            soft_deadline: received.plus(ttft_target).minus(forecast.known_first_event_time(size.prompt)),
             hard_deadline: by_deadline.min(by_silence),
             priority,
             gap,
--- a/crates/core/src/gateway/placement.rs
+++ b/crates/core/src/gateway/placement.rs
@@ -177,8 +177,8 @@
     fn reading_times(&self, endpoint: &Endpoint, prompt: u64) -> (Duration, Duration) {
         let ahead = self.load(endpoint).map_or(0, |load| load.all(self.now).reading);
         let forecast = self.forecasts.endpoint(self.now, &endpoint.service, &endpoint.id);
-        let busy = if ahead == 0 { Duration::ZERO } else { forecast.reading_time(ahead) };
-        (busy, forecast.reading_time(ahead + prompt))
+        let busy = if ahead == 0 { Duration::ZERO } else { forecast.prefill_time(ahead) };
+        (busy, forecast.prefill_time(ahead + prompt))
     }
 
     /// An endpoint that reads a prompt: the one that has read it first, near `zone` where its result
@@ -237,7 +237,7 @@
     /// each other's prompts would make them pause twice as long, so each has endpoints of its own.
     fn decode_and_read(&self, service: &str, engine: &Engine, run: &Run<'_>) -> Option<Arc<Endpoint>> {
         let forecast = self.forecasts.service(service);
-        let pause = forecast.own_reading_time(run.prompt) + forecast.event_gap();
+        let pause = forecast.local_prefill_time(run.prompt) + forecast.typical_event_interval();
         if !run.gap.is_zero() && pause > run.gap {
             return None;
         }
--- a/crates/core/src/gateway/pools.rs
+++ b/crates/core/src/gateway/pools.rs
@@ -12,7 +12,7 @@
     catalog::Engine,
     digest::Change,
     directory::{Directory, Endpoint, Stage},
-    forecast::{Forecast, Size, memory},
+    forecast::{Forecast, Size, mean_memory},
     load::Loads,
 };
 use crate::clock::{Time, fading};
@@ -77,12 +77,14 @@
 
     /// Part of the endpoints that should read prompts; nothing while it is not known how long things take.
     fn reading_part(&self, engine: &Engine, forecast: &Forecast) -> Option<f64> {
-        forecast.answer.filter(|answer| answer.weight >= ENOUGH_ANSWERS && forecast.knows_runs())?;
+        forecast
+            .output_length
+            .filter(|answer| answer.weight >= ENOUGH_ANSWERS && forecast.has_decode_data())?;
         let mean_prompt = (self.prompt / self.requests) as u64;
-        let reading = forecast.reading?.at(mean_prompt).as_secs_f64() * self.requests * HEADROOM;
+        let reading = forecast.prefill?.at(mean_prompt).as_secs_f64() * self.requests * HEADROOM;
         let full = (engine.memory as f64 * USABLE) as u64;
-        let token = forecast.run_time_beside(TOKENS, full).as_secs_f64() / TOKENS as f64;
-        let first = forecast.first_event(mean_prompt).as_secs_f64();
+        let token = forecast.decode_time_at(TOKENS, full).as_secs_f64() / TOKENS as f64;
+        let first = forecast.first_event_time(mean_prompt).as_secs_f64();
         let making = first * self.parts + token * self.part_tokens;
         Some(reading / (reading + making).max(f64::MIN_POSITIVE))
     }
@@ -127,7 +129,7 @@
         let Size { prompt, expected, .. } = size;
         let demand = self.demand.entry(service.clone()).or_default();
         demand.fade(now);
-        let runs = engine.memory as f64 * USABLE / memory(prompt, expected).max(1) as f64;
+        let runs = engine.memory as f64 * USABLE / mean_memory(prompt, expected).max(1) as f64;
         let part = 1.0 / runs.clamp(1.0, f64::from(engine.slots.max(1)));
         demand.requests += 1.0;
         demand.prompt += prompt as f64;
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -213,7 +213,7 @@
         self.allowance.heard(now, digest);
         self.loads.heard(now, digest);
         self.suspects.heard(digest);
-        self.forecasts.heard(&digest.name, &digest.forecasts);
+        self.forecasts.merge_peer(&digest.name, &digest.forecasts);
         for (endpoint, change) in &digest.changing {
             self.pools.heard(now, endpoint, *change);
         }
@@ -243,7 +243,7 @@
             suspects: self.suspects.told(now),
             versions: self.staleness.own(),
             forecasts: if self.serial.is_multiple_of(FORECASTS_EVERY) {
-                self.forecasts.own()
+                self.forecasts.local()
             } else {
                 BTreeMap::new()
             },
@@ -260,7 +260,7 @@
             self.forecasts.forget_peer(peer);
         }
         self.allowance.settle(now, &self.peers);
-        self.forecasts.settle();
+        self.forecasts.recompute();
         let changes = self.directory.settle(now);
         self.follow(now, &changes);
         (changes, gone)
@@ -343,12 +343,12 @@
             return;
         }
         let memory = self.loads.get(&endpoint.id).map_or(0, |load| load.all(now).memory);
-        self.forecasts.note(now, &endpoint.service, &endpoint.id, memory, observation);
+        self.forecasts.record(now, &endpoint.service, &endpoint.id, memory, observation);
     }
 
     /// Takes events that a run has made.
     pub fn made(&mut self, lease: &Lease, service: &str, events: u64) {
-        let event_tokens = self.forecasts.service(service).lengths().event_tokens;
+        let event_tokens = self.forecasts.service(service).output_length_or_default().event_tokens;
         self.loads.made(lease, (events as f64 * event_tokens) as u64);
     }
 
@@ -364,7 +364,7 @@
 
     /// When a caller should come back that waited in vain for memory of a service.
     pub fn memory_free_after(&self, service: &str) -> Duration {
-        let half = self.forecasts.service(service).half_run();
+        let half = self.forecasts.service(service).half_decode_time();
         half.map_or(COME_BACK, |half| half.clamp(SOONEST_BACK, LATEST_BACK))
     }
 
@@ -401,7 +401,7 @@
     fn place(&mut self, now: Time, waiting: &Entry<T>) -> Option<Pair> {
         let Entry { service, size, memory, gap, ttft_target, avoid, .. } = waiting;
         let engine = self.engine(service)?;
-        let spread = self.forecasts.service(service).lengths().spread;
+        let spread = self.forecasts.service(service).output_length_or_default().spread;
         let run = Run {
             prompt: size.prompt,
             growth: Growth::of(*size, 0, spread),
@@ -438,7 +438,7 @@
     pub fn answered(&mut self, now: Time, lease: &Lease) {
         let endpoint = self.directory.get(&lease.endpoint);
         let forecast = endpoint.map(|endpoint| self.forecasts.endpoint(now, &endpoint.service, &endpoint.id));
-        let rest = forecast.unwrap_or_default().event_gap() * REST_EVENTS;
+        let rest = forecast.unwrap_or_default().typical_event_interval() * REST_EVENTS;
         self.loads.answered(now, lease, rest);
     }
 
@@ -550,7 +550,7 @@
         let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.all(now).reading);
         let forecast = self.forecasts.endpoint(now, &endpoint.service, &endpoint.id);
         let tokens = ahead + prompt;
-        let limit = forecast.reading_limit(tokens, ttft_target);
+        let limit = forecast.prefill_timeout(tokens, ttft_target);
         let share = Share { reading: prompt, ..Share::default() };
         Place { tokens, limit, ..self.take(now, endpoint, share, None) }
     }
--- a/crates/core/tests/gateway/forecast.rs
+++ b/crates/core/tests/gateway/forecast.rs
@@ -7,7 +7,7 @@
 use crate::{SMALL, Sheet, at, learned, teach};
 
 /// Time to a first event that is on time.
-const TTFT_TARGET: Duration = Duration::from_millis(900);
+const TARGET: Duration = Duration::from_millis(900);
 
 fn small() -> Forecast {
     learned(SMALL).service("drafting")
@@ -23,8 +23,8 @@
 #[test]
 fn a_stream_that_may_outlast_a_process_that_stops_is_sent_elsewhere() {
     let left = Duration::from_millis(2_250);
-    assert!(!small().ends_within(left, summary(180), false));
-    assert!(small().ends_within(left, summary(90), false));
+    assert!(!small().finishes_within(left, summary(180), false));
+    assert!(small().finishes_within(left, summary(90), false));
 }
 
 /// A rolling restart stops one entry after the other. Were each to refuse every stream that could
@@ -32,22 +32,22 @@
 #[test]
 fn a_stream_that_comes_right_after_the_word_to_stop_is_served() {
     let left = Duration::from_millis(7_700);
-    assert!(small().ends_within(left, summary(700), true));
-    assert!(!small().ends_within(left, summary(1_500), true));
+    assert!(small().finishes_within(left, summary(700), true));
+    assert!(!small().finishes_within(left, summary(1_500), true));
 }
 
 #[test]
 fn no_answer_is_longer_than_the_longest_asked_for() {
     let size = Size { prompt: 5_000, expected: 300, most: 300 };
-    assert!(small().ends_within(Duration::from_millis(2_250), size, false));
+    assert!(small().finishes_within(Duration::from_millis(2_250), size, false));
 }
 
 /// A reader is dark, and a summary waits there for 1.4 s before another is asked: late whatever comes.
 /// Behind a long backlog the same wait is in order, and a second reading would be in vain.
 #[test]
 fn a_prompt_is_asked_elsewhere_in_time_unless_others_are_ahead() {
-    assert!(small().reading_limit(5_000, TTFT_TARGET) <= Duration::from_millis(600));
-    assert!(small().reading_limit(27_000, TTFT_TARGET) >= Duration::from_millis(1_300));
+    assert!(small().prefill_timeout(5_000, TARGET) <= Duration::from_millis(600));
+    assert!(small().prefill_timeout(27_000, TARGET) >= Duration::from_millis(1_300));
 }
 
 /// Whether a time is within a tenth of what it should be.
@@ -65,10 +65,10 @@
         Sheet { prompt_us: 180, first_ms: 400, token_us: 20_000, event_tokens: 4 },
     ] {
         let forecast = learned(sheet).service("drafting");
-        assert!(is_near(forecast.reading_time(5_000), sheet.prompt_us * 5), "{sheet:?}");
-        assert!(is_near(forecast.first_event(5_000), sheet.first_ms), "{sheet:?}");
-        assert!(is_near(forecast.run_time(1_000), sheet.token_us), "{sheet:?}");
-        assert!(is_near(forecast.own_reading_time(5_000), sheet.prompt_us * 10), "{sheet:?}");
+        assert!(is_near(forecast.prefill_time(5_000), sheet.prompt_us * 5), "{sheet:?}");
+        assert!(is_near(forecast.first_event_time(5_000), sheet.first_ms), "{sheet:?}");
+        assert!(is_near(forecast.decode_time(1_000), sheet.token_us), "{sheet:?}");
+        assert!(is_near(forecast.local_prefill_time(5_000), sheet.prompt_us * 10), "{sheet:?}");
     }
 }
 
@@ -79,11 +79,11 @@
     let mut forecasts = learned(SMALL);
     let slow = Duration::from_micros(10 * SMALL.token_us * SMALL.event_tokens);
     for _ in 0..20 {
-        let paced = Observation::Paced { events: 2, span: slow * 2 };
-        forecasts.note(at(1_000), &"drafting".into(), &"e-1".into(), 20_000, paced);
+        let paced = Observation::Events { events: 2, span: slow * 2 };
+        forecasts.record(at(1_000), &"drafting".into(), &"e-1".into(), 20_000, paced);
     }
-    forecasts.settle();
-    let time = forecasts.service("drafting").run_time(1_000);
+    forecasts.recompute();
+    let time = forecasts.service("drafting").decode_time(1_000);
     assert!(time > Duration::from_millis(40 * SMALL.token_us / 5), "{time:?}");
 }
 
@@ -94,11 +94,11 @@
     let mut forecasts = learned(SMALL);
     let real = Duration::from_micros(10 * SMALL.prompt_us * 5_000);
     let mut given_up = 0;
-    while forecasts.service("drafting").reading_limit(5_000, TTFT_TARGET) < real {
-        let waited = forecasts.service("drafting").reading_limit(5_000, TTFT_TARGET);
-        let unread = Observation::Unread { tokens: 5_000, waited };
-        forecasts.note(at(1_000), &"drafting".into(), &"e-1".into(), 0, unread);
-        forecasts.settle();
+    while forecasts.service("drafting").prefill_timeout(5_000, TARGET) < real {
+        let waited = forecasts.service("drafting").prefill_timeout(5_000, TARGET);
+        let unread = Observation::PrefillTimeout { tokens: 5_000, waited };
+        forecasts.record(at(1_000), &"drafting".into(), &"e-1".into(), 0, unread);
+        forecasts.recompute();
         given_up += 1;
         assert!(given_up < 20, "{waited:?}");
     }
@@ -114,13 +114,13 @@
         teach(&mut forecasts, at(0), endpoint, sheet);
     }
     let typical = forecasts.service("drafting");
-    assert!(is_near(typical.run_time(1_000), SMALL.token_us));
-    assert!(is_near(typical.reading_time(5_000), SMALL.prompt_us * 5));
+    assert!(is_near(typical.decode_time(1_000), SMALL.token_us));
+    assert!(is_near(typical.prefill_time(5_000), SMALL.prompt_us * 5));
     let sick = forecasts.endpoint(at(100), "drafting", "e-2");
-    assert!(is_near(sick.reading_time(5_000), SMALL.prompt_us * 100));
+    assert!(is_near(sick.prefill_time(5_000), SMALL.prompt_us * 100));
     // Once nothing has been seen of it for long, it is tried like any other.
     let later = forecasts.endpoint(at(20_000), "drafting", "e-2");
-    assert!(is_near(later.reading_time(5_000), SMALL.prompt_us * 5));
+    assert!(is_near(later.prefill_time(5_000), SMALL.prompt_us * 5));
 }
 
 /// One request was held up on its way for seconds, among many that were not.
@@ -129,15 +129,16 @@
     let mut forecasts = learned(SMALL);
     let (service, endpoint) = ("drafting".into(), "e-1".into());
     let held_up = Duration::from_secs(9);
-    for observation in
-        [Observation::Read { tokens: 5_000, took: held_up }, Observation::Paced { events: 1, span: held_up }]
-    {
-        forecasts.note(at(10), &service, &endpoint, 20_000, observation);
+    for observation in [
+        Observation::Prefill { tokens: 5_000, took: held_up },
+        Observation::Events { events: 1, span: held_up },
+    ] {
+        forecasts.record(at(10), &service, &endpoint, 20_000, observation);
     }
-    forecasts.settle();
+    forecasts.recompute();
     let forecast = forecasts.service("drafting");
-    assert!(is_near(forecast.reading_time(5_000), SMALL.prompt_us * 5));
-    assert!(forecast.run_time(1_000) < Duration::from_millis(SMALL.token_us * 3 / 2));
+    assert!(is_near(forecast.prefill_time(5_000), SMALL.prompt_us * 5));
+    assert!(forecast.decode_time(1_000) < Duration::from_millis(SMALL.token_us * 3 / 2));
 }
 
 /// Clocks and engines that show times or counts of zero must not make anything free or endless.
@@ -146,17 +147,17 @@
     let mut forecasts = Forecasts::default();
     for _ in 0..10 {
         for observation in [
-            Observation::Read { tokens: 0, took: Duration::from_millis(5) },
-            Observation::Read { tokens: 500, took: Duration::ZERO },
-            Observation::Started { prompt: 500, took: Duration::ZERO },
-            Observation::Paced { events: 3, span: Duration::ZERO },
-            Observation::Paced { events: 3, span: Duration::from_secs(100_000) },
-            Observation::Ended { expected: 0, events: 7 },
-            Observation::Ended { expected: 7, events: 0 },
+            Observation::Prefill { tokens: 0, took: Duration::from_millis(5) },
+            Observation::Prefill { tokens: 500, took: Duration::ZERO },
+            Observation::FirstEvent { prompt: 500, took: Duration::ZERO },
+            Observation::Events { events: 3, span: Duration::ZERO },
+            Observation::Events { events: 3, span: Duration::from_secs(100_000) },
+            Observation::Completed { expected: 0, events: 7 },
+            Observation::Completed { expected: 7, events: 0 },
         ] {
-            forecasts.note(at(0), &"drafting".into(), &"e-1".into(), 0, observation);
+            forecasts.record(at(0), &"drafting".into(), &"e-1".into(), 0, observation);
         }
     }
-    forecasts.settle();
+    forecasts.recompute();
     assert_eq!(forecasts.service("drafting"), Forecast::default());
 }
--- a/crates/core/tests/gateway/main.rs
+++ b/crates/core/tests/gateway/main.rs
@@ -106,14 +106,14 @@
         let off = if round % 2 == 0 { 0.5_f64.exp() } else { (-0.5_f64).exp() };
         let expected = (100.0 * sheet.event_tokens as f64 * off) as u64;
         for observation in [
-            Observation::Read { tokens: prompt, took: read },
-            Observation::Started { prompt, took: first },
-            Observation::ReadAndStarted { prompt, took: first + read * 2 },
-            Observation::Paced { events: 5, span: gap * 5 },
-            Observation::Ended { expected, events: 100 },
+            Observation::Prefill { tokens: prompt, took: read },
+            Observation::FirstEvent { prompt, took: first },
+            Observation::LocalPrefill { prompt, took: first + read * 2 },
+            Observation::Events { events: 5, span: gap * 5 },
+            Observation::Completed { expected, events: 100 },
         ] {
-            forecasts.note(now, &service, &endpoint, 20_000, observation);
-            forecasts.settle();
+            forecasts.record(now, &service, &endpoint, 20_000, observation);
+            forecasts.recompute();
         }
     }
 }
--- a/crates/core/tests/gateway/placement.rs
+++ b/crates/core/tests/gateway/placement.rs
@@ -20,7 +20,7 @@
 use crate::{SMALL, at, endpoint, engine, learned, row};
 
 /// Time to a first event that is on time.
-const TTFT_TARGET: Duration = Duration::from_millis(900);
+const TARGET: Duration = Duration::from_millis(900);
 
 fn directory(endpoints: Vec<Endpoint>) -> Directory {
     let mut directory = Directory::default();
@@ -53,7 +53,7 @@
 }
 
 fn need(memory: u64, spare: u64) -> Run<'static> {
-    Run { prompt: memory, growth: Growth::flat(memory), spare, ttft_target: TTFT_TARGET, ..Run::default() }
+    Run { prompt: memory, growth: Growth::flat(memory), spare, ttft_target: TARGET, ..Run::default() }
 }
 
 fn run(memory: u64) -> Share {
@@ -106,9 +106,8 @@
     let far = Endpoint { zone: "zone-b".into(), ..endpoint("p-2", Stage::Prefill) };
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), far]);
     let mut loads = Loads::default();
-    let place = |loads: &Loads| {
-        reader(view(&directory, loads, 10).prefill("drafting", 5_000, TTFT_TARGET, "zone-a", &[]))
-    };
+    let place =
+        |loads: &Loads| reader(view(&directory, loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &[]));
     assert_eq!(place(&loads), Some("p-1".into()));
     let reading = Share { reading: 8_000, ..Share::default() };
     loads.take(at(0), &"p-1".into(), reading);
@@ -147,7 +146,7 @@
     let mut loads = Loads::default();
     let told = Digest { name: "b".into(), failing: other.own_failing(at(30)), ..Digest::default() };
     loads.heard(at(30), &told);
-    let found = view(&directory, &loads, 40).prefill("drafting", 5_000, TTFT_TARGET, "zone-a", &[]);
+    let found = view(&directory, &loads, 40).prefill("drafting", 5_000, TARGET, "zone-a", &[]);
     assert_eq!(reader(found), Some("p-2".into()));
 }
 
@@ -183,18 +182,15 @@
     let mut loads = Loads::default();
     let mut placed = 0;
     while let Reader::Endpoint(found) =
-        view(&directory, &loads, 10).prefill("drafting", 5_000, TTFT_TARGET, "zone-a", &[])
+        view(&directory, &loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &[])
     {
         loads.take(at(0), &found.id, Share { reading: 5_000, ..Share::default() });
         placed += 1;
     }
     assert_eq!(placed, 5);
+    assert_eq!(view(&directory, &loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &[]), Reader::Busy);
     assert_eq!(
-        view(&directory, &loads, 10).prefill("drafting", 5_000, TTFT_TARGET, "zone-a", &[]),
-        Reader::Busy
-    );
-    assert_eq!(
-        view(&directory, &loads, 10).prefill("drafting", 5_000, TTFT_TARGET, "zone-a", &["p-1".into()]),
+        view(&directory, &loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &["p-1".into()]),
         Reader::Nobody
     );
 }
@@ -208,12 +204,9 @@
     let reading = Share { reading: 30_000, ..Share::default() };
     let shares = [("p-1".into(), reading), ("d-1".into(), run(30_000))].into();
     loads.heard(at(0), &Digest { name: "frozen".into(), shares, ..Digest::default() });
+    assert_eq!(view(&directory, &loads, 500).prefill("drafting", 5_000, TARGET, "zone-a", &[]), Reader::Busy);
     assert_eq!(
-        view(&directory, &loads, 500).prefill("drafting", 5_000, TTFT_TARGET, "zone-a", &[]),
-        Reader::Busy
-    );
-    assert_eq!(
-        reader(view(&directory, &loads, 700).prefill("drafting", 5_000, TTFT_TARGET, "zone-a", &[])),
+        reader(view(&directory, &loads, 700).prefill("drafting", 5_000, TARGET, "zone-a", &[])),
         Some("p-1".into())
     );
     // Its runs go on for seconds.
@@ -232,7 +225,7 @@
     loads.take(at(0), &"p-1".into(), reading(2_000));
     loads.take(at(900), &"p-2".into(), reading(8_000));
     let place = |loads: &Loads, now| {
-        reader(view(&directory, loads, now).prefill("drafting", 5_000, TTFT_TARGET, "zone-a", &[]))
+        reader(view(&directory, loads, now).prefill("drafting", 5_000, TARGET, "zone-a", &[]))
     };
     assert_eq!(place(&loads, 700), Some("p-1".into()));
     assert_eq!(place(&loads, 901), Some("p-2".into()));
@@ -251,8 +244,7 @@
         loads.give_back(at(now), &lease, Outcome::TurnedAway);
     }
     loads.take(at(20), &"p-2".into(), Share { reading: 8_000, ..Share::default() });
-    let place =
-        |now| reader(view(&directory, &loads, now).prefill("drafting", 5_000, TTFT_TARGET, "zone-a", &[]));
+    let place = |now| reader(view(&directory, &loads, now).prefill("drafting", 5_000, TARGET, "zone-a", &[]));
     assert_eq!(place(30), Some("p-2".into()));
     assert_eq!(place(300), Some("p-1".into()));
 }
--- a/crates/core/tests/gateway/queue.rs
+++ b/crates/core/tests/gateway/queue.rs
@@ -102,7 +102,7 @@
 const PLACES: usize = 80;
 const RUN: u64 = 3_300;
 const FIRST: u64 = 300;
-const TTFT_TARGET: u64 = 900;
+const TARGET: u64 = 900;
 const SILENCE: u64 = 3_600;
 
 /// Plays a burst of 5 s at 1.3 times what 80 places can take, between calm times at 0.7 times.
@@ -118,8 +118,7 @@
         if rng.random_bool(chance) {
             let tag = arrivals.len() as u32;
             arrivals.insert(tag, now);
-            let soft_deadline =
-                if order == Order::Arrival { now + SILENCE } else { now + TTFT_TARGET - FIRST };
+            let soft_deadline = if order == Order::Arrival { now + SILENCE } else { now + TARGET - FIRST };
             queue.push(entry(tag, soft_deadline, now + SILENCE - FIRST));
         }
         ends.retain(|end| *end > now);
@@ -136,7 +135,7 @@
         });
         for (Entry { tag, .. }, verdict) in verdicts {
             match verdict {
-                Verdict::Placed(()) if now + FIRST <= arrivals[&tag] + TTFT_TARGET => result.on_time += 1,
+                Verdict::Placed(()) if now + FIRST <= arrivals[&tag] + TARGET => result.on_time += 1,
                 Verdict::Placed(()) => result.late += 1,
                 Verdict::Expired => result.refused += 1,
             }
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -207,11 +207,15 @@
     let gap = Duration::from_micros(sheet.token_us * sheet.event_tokens);
     for _ in 0..20 {
         let took = Duration::from_micros(5_000 * sheet.prompt_us);
-        state.observed(at(now), &reader, Observation::Read { tokens: 5_000, took });
+        state.observed(at(now), &reader, Observation::Prefill { tokens: 5_000, took });
         let took = Duration::from_millis(sheet.first_ms);
-        state.observed(at(now), &run, Observation::Started { prompt: 5_000, took });
-        state.observed(at(now), &run, Observation::Paced { events: 10, span: gap * 10 });
-        state.observed(at(now), &run, Observation::Ended { expected: 100 * sheet.event_tokens, events: 100 });
+        state.observed(at(now), &run, Observation::FirstEvent { prompt: 5_000, took });
+        state.observed(at(now), &run, Observation::Events { events: 10, span: gap * 10 });
+        state.observed(
+            at(now),
+            &run,
+            Observation::Completed { expected: 100 * sheet.event_tokens, events: 100 },
+        );
     }
     state.settle(at(now));
 }
@@ -253,5 +257,5 @@
     show(&mut state, 1_000, Sheet { token_us: 40_000, ..SMALL });
     state.settle(at(1_100));
     let after = state.forecast("drafting");
-    assert_eq!(after.event, None, "{before:?}");
+    assert_eq!(after.event_interval, None, "{before:?}");
 }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -104,7 +104,7 @@
 
     /// Events that the run has made, and the time since those before.
     pub fn paced(&self, events: u64, span: Duration) {
-        self.observed(Observation::Paced { events, span });
+        self.observed(Observation::Events { events, span });
         self.control.tell(Command::Made(self.lease.clone(), self.endpoint.service.clone(), events));
     }
 
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -296,13 +296,13 @@
 }
 
 fn forecast_json(forecast: &Forecast) -> serde_json::Value {
-    let answer = forecast.lengths();
+    let answer = forecast.output_length_or_default();
     serde_json::json!({
-        "reading_us_per_token": forecast.reading.map(|trend| trend.slope * 1e6),
-        "own_reading_us_per_token": forecast.own_reading.map(|trend| trend.slope * 1e6),
-        "first_event_ms": forecast.first.map(|trend| trend.at(PROMPT_SHOWN).as_secs_f64() * 1e3),
-        "event_us": forecast.event.map(|_| forecast.event_gap().as_micros() as u64),
-        "tokens_per_event": forecast.answer.map(|_| answer.event_tokens),
+        "reading_us_per_token": forecast.prefill.map(|trend| trend.slope * 1e6),
+        "own_reading_us_per_token": forecast.local_prefill.map(|trend| trend.slope * 1e6),
+        "first_event_ms": forecast.first_event.map(|trend| trend.at(PROMPT_SHOWN).as_secs_f64() * 1e3),
+        "event_us": forecast.event_interval.map(|_| forecast.typical_event_interval().as_micros() as u64),
+        "tokens_per_event": forecast.output_length.map(|_| answer.event_tokens),
         "estimate_spread": answer.spread,
     })
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -230,9 +230,9 @@
         self.0.metrics.version.set(i64::try_from(version).unwrap_or(i64::MAX));
         for (service, forecast) in self.0.control.forecasts().await {
             let times = [
-                ("reading", forecast.reading_time(PROMPT_SHOWN)),
-                ("first_event", forecast.first_event(PROMPT_SHOWN)),
-                ("event", forecast.event_gap()),
+                ("reading", forecast.prefill_time(PROMPT_SHOWN)),
+                ("first_event", forecast.first_event_time(PROMPT_SHOWN)),
+                ("event", forecast.typical_event_interval()),
             ];
             for (part, time) in times {
                 let gauge = self.0.metrics.forecasts.with_label_values(&[&*service, part]);
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -81,8 +81,8 @@
 
     fn observation(self, prompt: u64, took: Duration) -> Option<Observation> {
         match self {
-            Self::FromResult => Some(Observation::Started { prompt, took }),
-            Self::FromPrompt => Some(Observation::ReadAndStarted { prompt, took }),
+            Self::FromResult => Some(Observation::FirstEvent { prompt, took }),
+            Self::FromPrompt => Some(Observation::LocalPrefill { prompt, took }),
             Self::Other => None,
         }
     }
@@ -164,7 +164,7 @@
     let Some(stop) = context.stop.get() else { return Ok(()) };
     let forecast = context.control.forecast(inbound.service()).await;
     let now = context.clock.now();
-    if forecast.ends_within(stop.ends.since(now), inbound.size(), now < stop.noticed) {
+    if forecast.finishes_within(stop.ends.since(now), inbound.size(), now < stop.noticed) {
         return Ok(());
     }
     Err(Refusal::not_run(Code::ShuttingDown, "the process stops before the stream would end")
--- a/crates/gateway/src/stream/reading.rs
+++ b/crates/gateway/src/stream/reading.rs
@@ -74,7 +74,7 @@
             let result = context.dialect.prefilled(&body);
             if result.is_some() {
                 let took = context.clock.now().since(began);
-                ticket.observed(Observation::Read { tokens: ticket.tokens, took });
+                ticket.observed(Observation::Prefill { tokens: ticket.tokens, took });
                 ticket.answered();
             }
             result.ok_or(Failure::Spoilt("a result without a name"))
@@ -92,7 +92,7 @@
             let is_unsent = matches!(failure, Failure::Unsent(_));
             if matches!(failure, Failure::Late) {
                 let waited = context.clock.now().since(began);
-                ticket.observed(Observation::Unread { tokens: ticket.tokens, waited });
+                ticket.observed(Observation::PrefillTimeout { tokens: ticket.tokens, waited });
             }
             if !is_unsent {
                 context.control.broke(&endpoint.id, inbound.admission.fingerprint);
--- a/crates/wire/src/digest.rs
+++ b/crates/wire/src/digest.rs
@@ -10,7 +10,7 @@
     clock::micros,
     gateway::{
         digest::{Change, Digest, Member, Share},
-        forecast::{Answer, Forecast, Trend},
+        forecast::{Forecast, OutputLength, Trend},
         growth::Growth,
         staleness::Versions,
     },
@@ -65,7 +65,7 @@
 
 fn forecast((service, forecast): (&Arc<str>, &Forecast)) -> proto::Forecast {
     let trend = |trend: Option<Trend>| trend.map(|Trend { base, slope }| proto::Trend { base, slope });
-    let answers = |Answer { event_tokens, spread, events, weight }| proto::Answers {
+    let answers = |OutputLength { event_tokens, spread, events, weight }| proto::Answers {
         event_tokens,
         spread,
         events,
@@ -73,12 +73,12 @@
     };
     proto::Forecast {
         service: service.to_string(),
-        reading: trend(forecast.reading),
-        first: trend(forecast.first),
-        own_reading: trend(forecast.own_reading),
-        event: trend(forecast.event),
+        reading: trend(forecast.prefill),
+        first: trend(forecast.first_event),
+        own_reading: trend(forecast.local_prefill),
+        event: trend(forecast.event_interval),
         memory: forecast.memory,
-        answers: forecast.answer.map(answers),
+        answers: forecast.output_length.map(answers),
     }
 }
 
@@ -158,19 +158,19 @@
     let trend = |told: Option<proto::Trend>| {
         told.map(|proto::Trend { base, slope }| Trend { base: sound(base), slope: sound(slope) })
     };
-    let answer = |proto::Answers { event_tokens, spread, events, weight }| Answer {
+    let answer = |proto::Answers { event_tokens, spread, events, weight }| OutputLength {
         event_tokens: sound(event_tokens),
         spread: sound(spread),
         events: sound(events),
         weight: sound(weight),
     };
     let forecast = Forecast {
-        reading: trend(told.reading),
-        first: trend(told.first),
-        own_reading: trend(told.own_reading),
-        event: trend(told.event),
+        prefill: trend(told.reading),
+        first_event: trend(told.first),
+        local_prefill: trend(told.own_reading),
+        event_interval: trend(told.event),
         memory: told.memory,
-        answer: told.answers.map(answer),
+        output_length: told.answers.map(answer),
     };
     (told.service.into(), forecast)
 }
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -7,7 +7,7 @@
     gateway::{
         digest::{Digest, Share},
         directory::{Endpoint, Row, Stage},
-        forecast::{Answer as Length, Forecast, Trend},
+        forecast::{Forecast, OutputLength, Trend},
         growth::Growth,
         knowledge::Knowledge,
         staleness::Versions,
@@ -161,14 +161,14 @@
 fn digest() -> Digest {
     let trend = |slope| Some(Trend { base: 0.012, slope });
     let growth = Growth([16_000, 16_500, 17_000, 18_000, 14_000, 6_000, 100, 0]);
-    let answer = Some(Length { event_tokens: 72.0, spread: 0.48, events: 70.5, weight: 44.0 });
+    let output_length = Some(OutputLength { event_tokens: 72.0, spread: 0.48, events: 70.5, weight: 44.0 });
     let forecast = Forecast {
-        reading: trend(18e-6),
-        first: trend(0.0),
-        own_reading: None,
-        event: trend(1e-9),
+        prefill: trend(18e-6),
+        first_event: trend(0.0),
+        local_prefill: None,
+        event_interval: trend(1e-9),
         memory: 61_000,
-        answer,
+        output_length,
     };
     Digest {
         name: name("entry-1"),
@@ -198,5 +198,5 @@
     let mut spoilt = proto::Digest::from(&digest());
     spoilt.forecasts[0].reading = Some(proto::Trend { base: f64::NAN, slope: f64::NEG_INFINITY });
     let digest = Digest::try_from(spoilt).expect("the rest makes sense");
-    assert_eq!(digest.forecasts["drafting"].reading, Some(Trend { base: 0.0, slope: 0.0 }));
+    assert_eq!(digest.forecasts["drafting"].prefill, Some(Trend { base: 0.0, slope: 0.0 }));
 }
