--- a/crates/core/src/gateway/completion.rs
+++ b/crates/core/src/gateway/completion.rs
@@ -61,7 +61,7 @@
             tag,
             service,
             size,
-            memory: mean_memory(size.prompt, size.expected),
+            memory: mean_memory(size.prompt, size.expected_output),
             soft_deadline: received.plus(ttft_target).minus(forecast.known_first_event_time(size.prompt)),
             hard_deadline: by_deadline.min(by_silence),
             priority,
--- a/crates/core/src/gateway/forecast.rs
+++ b/crates/core/src/gateway/forecast.rs
@@ -61,8 +61,8 @@
 /// Memory that a run takes on average over its time, tokens: its answer grows from nothing to
 /// `expected`. Runs at different points of their answers take such means together; promising each its
 /// longest answer leaves a part of the memory of a full endpoint empty.
-pub fn mean_memory(prompt: u64, expected: u64) -> u64 {
-    prompt + expected / 2
+pub fn mean_memory(prompt: u64, expected_output: u64) -> u64 {
+    prompt + expected_output / 2
 }
 
 /// What a stream asks for, tokens.
@@ -71,9 +71,9 @@
     /// Its prompt.
     pub prompt: u64,
     /// Its answer as the caller estimates it; at most `most`.
-    pub expected: u64,
+    pub expected_output: u64,
     /// Its longest answer.
-    pub most: u64,
+    pub max_output: u64,
 }
 
 /// What a request showed of its endpoint.
@@ -205,7 +205,7 @@
         if !self.has_decode_data() {
             return Duration::ZERO;
         }
-        self.known_first_event_time(size.prompt) + self.decode_time(size.expected)
+        self.known_first_event_time(size.prompt) + self.decode_time(size.expected_output)
     }
 
     /// The same up to the first event.
@@ -226,7 +226,7 @@
     pub fn finishes_within(&self, left: Duration, size: Size, is_in_rotation: bool) -> bool {
         let sigmas = if is_in_rotation { LENGTH_SIGMAS } else { STRICT_LENGTH_SIGMAS };
         let factor = (self.output_length_or_default().spread * sigmas).exp();
-        let answer = ((size.expected as f64 * factor) as u64).min(size.most);
+        let answer = ((size.expected_output as f64 * factor) as u64).min(size.max_output);
         self.first_event_time(size.prompt) + self.prefill_time(size.prompt) + self.decode_time(answer) < left
     }
 }
--- a/crates/core/src/gateway/growth.rs
+++ b/crates/core/src/gateway/growth.rs
@@ -9,37 +9,37 @@
 use super::forecast::Size;
 
 /// Tokens ahead at which memory is looked at: from now to the end of long answers.
-pub const AHEAD: [u64; 8] = [0, 256, 512, 1_024, 2_048, 4_096, 8_192, 16_384];
+pub const HORIZONS: [u64; 8] = [0, 256, 512, 1_024, 2_048, 4_096, 8_192, 16_384];
 
 /// Steepness of a logistic curve over the logarithm that has the spread of a normal one, times the spread.
 const STEEPNESS: f64 = 1.7;
 /// Standard deviations of a run's being still there that are kept free besides. One for each of nine runs is
 /// three of all together, which holds nearly always; without, an endpoint whose answers are as long as
 /// prompts is overfilled in bursts, and a run is preempted, pauses and is read again.
-const CAUTION: f64 = 1.0;
+const DEVIATIONS_RESERVED: f64 = 1.0;
 /// Spreads below this would make every answer end at its estimate to the token.
-const LEAST_SPREAD: f64 = 0.05;
+const MIN_SPREAD: f64 = 0.05;
 
-/// Memory that is to be kept for runs at each of [`AHEAD`], tokens: what they are expected to take, and some
+/// Memory that is to be kept for runs at each of [`HORIZONS`], tokens: what they are expected to take, and some
 /// more where it is open whether they still run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Growth(pub [u32; AHEAD.len()]);
+pub struct Growth(pub [u32; HORIZONS.len()]);
 
 impl Growth {
     /// Memory that neither grows nor becomes free.
     pub fn flat(memory: u64) -> Self {
-        Self([whole(memory as f64); AHEAD.len()])
+        Self([to_tokens(memory as f64); HORIZONS.len()])
     }
 
     /// The memory of a run that has made `made` tokens of its answer, whose length may be off from its
     /// estimate by `spread`, of the logarithm.
-    pub fn of(size: Size, made: u64, spread: f64) -> Self {
-        let now = lasting(size, made as f64, spread).max(f64::MIN_POSITIVE);
-        Self(AHEAD.map(|ahead| {
-            let tokens = (made + ahead) as f64;
-            let still_runs = (lasting(size, tokens, spread) / now).min(1.0);
-            let doubt = (still_runs * (1.0 - still_runs)).sqrt();
-            whole((size.prompt as f64 + tokens) * (still_runs + CAUTION * doubt).min(1.0))
+    pub fn for_run(size: Size, generated: u64, spread: f64) -> Self {
+        let now = survival(size, generated as f64, spread).max(f64::MIN_POSITIVE);
+        Self(HORIZONS.map(|ahead| {
+            let tokens = (generated + ahead) as f64;
+            let running = (survival(size, tokens, spread) / now).min(1.0);
+            let deviation = (running * (1.0 - running)).sqrt();
+            to_tokens((size.prompt as f64 + tokens) * (running + DEVIATIONS_RESERVED * deviation).min(1.0))
         }))
     }
 
@@ -50,18 +50,18 @@
 }
 
 /// Part of the answers of a size that are longer than a number of tokens.
-fn lasting(size: Size, tokens: f64, spread: f64) -> f64 {
+fn survival(size: Size, tokens: f64, spread: f64) -> f64 {
     if tokens <= 0.0 {
         return 1.0;
     }
-    if tokens >= size.most as f64 {
+    if tokens >= size.max_output as f64 {
         return 0.0;
     }
-    let steepness = STEEPNESS / spread.max(LEAST_SPREAD);
-    1.0 / (1.0 + (tokens / size.expected.max(1) as f64).powf(steepness))
+    let steepness = STEEPNESS / spread.max(MIN_SPREAD);
+    1.0 / (1.0 + (tokens / size.expected_output.max(1) as f64).powf(steepness))
 }
 
-fn whole(tokens: f64) -> u32 {
+fn to_tokens(tokens: f64) -> u32 {
     // A cast of a float stops at the type's bounds.
     tokens as u32
 }
--- a/crates/core/src/gateway/pools.rs
+++ b/crates/core/src/gateway/pools.rs
@@ -19,37 +19,37 @@
 
 /// Requests that must have been seen before their mean says something: the sizes of prompts and
 /// answers vary by half to double, so the mean of these is right to a sixth.
-const ENOUGH: f64 = 15.0;
+const MIN_REQUESTS: f64 = 15.0;
 /// Answers that must have been seen before it is known how long they take: estimates are off by half to
 /// double, so the middle of these is right to a fifth.
-const ENOUGH_ANSWERS: f64 = 8.0;
+const MIN_ANSWER_WEIGHT: f64 = 8.0;
 /// What was seen counts half after this long: longer than a burst, shorter than a shift of the
 /// traffic that is worth a switch.
 const HALF_LIFE: Duration = Duration::from_secs(15);
 /// Reading gets this much more than its part: prompts wait for each other while they are read, and
 /// with a part just enough they would wait for ever; with little more, callers that come back together
 /// after a loss of power wait for the few readers for seconds.
-const HEADROOM: f64 = 1.45;
+const PREFILL_HEADROOM: f64 = 1.45;
 /// Endpoints by which a pool must be off for one to be moved: half would be the nearest fit, and the
 /// rest keeps the noise of the mean from moving the same one to and fro.
-const WORTH_A_SWITCH: f64 = 0.8;
+const MIN_IMBALANCE: f64 = 0.8;
 /// An answer long enough for the time of one token.
-const TOKENS: u64 = 1_000;
+const REFERENCE_TOKENS: u64 = 1_000;
 /// Part of an engine's memory that runs can take: the rest is lost at the edges.
-const USABLE: f64 = 0.9;
+const USABLE_MEMORY: f64 = 0.9;
 /// A change that is not seen to end is forgotten after this long: the longest run, the switch, and an
 /// order that is carried out late.
-const LONGEST_CHANGE: Duration = Duration::from_secs(25);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(25);
 /// Time between two orders, so that the first shows in the list before the next is decided.
-const ORDER_PAUSE: Duration = Duration::from_millis(1_000);
+const MIN_ORDER_INTERVAL: Duration = Duration::from_millis(1_000);
 /// How long a pool must be off for one to be moved. While a burst begins or endpoints go dark, what was
 /// seen swings for a moment, and a switch made for it is undone by the next.
-const LASTING: Duration = Duration::from_secs(2);
+const TO_DECODE_DELAY: Duration = Duration::from_secs(2);
 /// The same for one to be taken from those that make tokens: it turns away runs whose prompts have been read,
 /// and readers that went dark in a burst are back by the time it would read.
-const LASTING_TO_READ: Duration = Duration::from_secs(4);
+const TO_PREFILL_DELAY: Duration = Duration::from_secs(4);
 /// Most changes under way at once in one service.
-const MOST_CHANGES: usize = 2;
+const MAX_CHANGES: usize = 2;
 
 /// What the requests of one service asked for, fading with time. Kept as sizes: how long they take is
 /// asked when it is decided, so that what is learned later counts for what was seen before.
@@ -59,9 +59,9 @@
     /// Tokens of prompts.
     prompt: f64,
     /// Parts of an endpoint that makes tokens with full memory, or with all places taken.
-    parts: f64,
+    endpoints: f64,
     /// The same, each times the tokens of its answer.
-    part_tokens: f64,
+    endpoint_tokens: f64,
     at: Time,
 }
 
@@ -70,23 +70,23 @@
         let kept = fading(now.since(self.at), HALF_LIFE);
         self.requests *= kept;
         self.prompt *= kept;
-        self.parts *= kept;
-        self.part_tokens *= kept;
+        self.endpoints *= kept;
+        self.endpoint_tokens *= kept;
         self.at = now;
     }
 
     /// Part of the endpoints that should read prompts; nothing while it is not known how long things take.
-    fn reading_part(&self, engine: &Engine, forecast: &Forecast) -> Option<f64> {
+    fn prefill_fraction(&self, engine: &Engine, forecast: &Forecast) -> Option<f64> {
         forecast
             .output_length
-            .filter(|answer| answer.weight >= ENOUGH_ANSWERS && forecast.has_decode_data())?;
+            .filter(|answer| answer.weight >= MIN_ANSWER_WEIGHT && forecast.has_decode_data())?;
         let mean_prompt = (self.prompt / self.requests) as u64;
-        let reading = forecast.prefill?.at(mean_prompt).as_secs_f64() * self.requests * HEADROOM;
-        let full = (engine.memory as f64 * USABLE) as u64;
-        let token = forecast.decode_time_at(TOKENS, full).as_secs_f64() / TOKENS as f64;
+        let prefill = forecast.prefill?.at(mean_prompt).as_secs_f64() * self.requests * PREFILL_HEADROOM;
+        let full = (engine.memory as f64 * USABLE_MEMORY) as u64;
+        let token = forecast.decode_time_at(REFERENCE_TOKENS, full).as_secs_f64() / REFERENCE_TOKENS as f64;
         let first = forecast.first_event_time(mean_prompt).as_secs_f64();
-        let making = first * self.parts + token * self.part_tokens;
-        Some(reading / (reading + making).max(f64::MIN_POSITIVE))
+        let decode = first * self.endpoints + token * self.endpoint_tokens;
+        Some(prefill / (prefill + decode).max(f64::MIN_POSITIVE))
     }
 }
 
@@ -101,7 +101,7 @@
 
 /// A service as it is known when its split is decided.
 #[derive(Clone, Copy, Debug)]
-pub struct Known<'a> {
+pub struct ServiceInfo<'a> {
     /// Its name.
     pub name: &'a Arc<str>,
     /// The size of its engines.
@@ -117,131 +117,132 @@
     /// Until when an endpoint is left alone while it changes, and what it changes to.
     changing: BTreeMap<Arc<str>, (Time, Stage)>,
     /// The same as others told it.
-    told: BTreeMap<Arc<str>, (Time, Stage)>,
-    ordered: Option<Time>,
+    peer_changing: BTreeMap<Arc<str>, (Time, Stage)>,
+    last_order: Option<Time>,
     /// Since when a service has too many readers, or too few.
-    off: BTreeMap<Arc<str>, (Time, Stage)>,
+    imbalanced: BTreeMap<Arc<str>, (Time, Stage)>,
 }
 
 impl Pools {
     /// Counts a request.
-    pub fn note(&mut self, now: Time, service: &Arc<str>, engine: &Engine, size: Size) {
-        let Size { prompt, expected, .. } = size;
+    pub fn record_request(&mut self, now: Time, service: &Arc<str>, engine: &Engine, size: Size) {
+        let Size { prompt, expected_output, .. } = size;
         let demand = self.demand.entry(service.clone()).or_default();
         demand.fade(now);
-        let runs = engine.memory as f64 * USABLE / mean_memory(prompt, expected).max(1) as f64;
-        let part = 1.0 / runs.clamp(1.0, f64::from(engine.slots.max(1)));
+        let runs = engine.memory as f64 * USABLE_MEMORY / mean_memory(prompt, expected_output).max(1) as f64;
+        let endpoints = 1.0 / runs.clamp(1.0, f64::from(engine.slots.max(1)));
         demand.requests += 1.0;
         demand.prompt += prompt as f64;
-        demand.parts += part;
-        demand.part_tokens += part * expected as f64;
+        demand.endpoints += endpoints;
+        demand.endpoint_tokens += endpoints * expected_output as f64;
     }
 
     /// How many of `count` endpoints should read prompts, as a fraction too; nothing while too little
     /// was seen.
-    pub fn readers(&mut self, now: Time, service: &Known<'_>, count: usize) -> Option<f64> {
-        let Known { name, engine, forecast } = service;
+    pub fn prefill_target(&mut self, now: Time, service: &ServiceInfo<'_>, count: usize) -> Option<f64> {
+        let ServiceInfo { name, engine, forecast } = service;
         let demand = self.demand.get_mut(*name)?;
         demand.fade(now);
-        if demand.requests < ENOUGH || count < 2 {
+        if demand.requests < MIN_REQUESTS || count < 2 {
             return None;
         }
-        let part = demand.reading_part(engine, forecast)?;
-        Some((count as f64 * part).clamp(1.0, count as f64 - 1.0))
+        let fraction = demand.prefill_fraction(engine, forecast)?;
+        Some((count as f64 * fraction).clamp(1.0, count as f64 - 1.0))
     }
 
     /// Whether an endpoint is in the middle of a change and takes no work.
     pub fn is_changing(&self, now: Time, endpoint: &str) -> bool {
         self.changing.get(endpoint).is_some_and(|(until, _)| *until > now)
-            || self.told.get(endpoint).is_some_and(|(until, _)| *until > now)
+            || self.peer_changing.get(endpoint).is_some_and(|(until, _)| *until > now)
     }
 
     /// The changes that this entry has ordered.
     pub fn changes(&self, now: Time) -> BTreeMap<Arc<str>, Change> {
-        let open = self.changing.iter().filter(|(_, (until, _))| *until > now);
-        let told = open.map(|(endpoint, (until, stage))| {
+        let pending = self.changing.iter().filter(|(_, (until, _))| *until > now);
+        let changes = pending.map(|(endpoint, (until, stage))| {
             (endpoint.clone(), Change { stage: *stage, left: until.since(now) })
         });
-        told.collect()
+        changes.collect()
     }
 
     /// Takes a change that another entry has ordered.
-    pub fn heard(&mut self, now: Time, endpoint: &Arc<str>, change: Change) {
-        let until = now.plus(change.left.min(LONGEST_CHANGE));
-        self.told.insert(endpoint.clone(), (until, change.stage));
+    pub fn merge_change(&mut self, now: Time, endpoint: &Arc<str>, change: Change) {
+        let until = now.plus(change.left.min(CHANGE_TIMEOUT));
+        self.peer_changing.insert(endpoint.clone(), (until, change.stage));
     }
 
     /// An endpoint shows its stage in the list: a change to it is over.
-    pub fn seen(&mut self, endpoint: &Endpoint) {
+    pub fn confirm(&mut self, endpoint: &Endpoint) {
         if self.changing.get(&endpoint.id).is_some_and(|(_, stage)| *stage == endpoint.stage) {
             self.changing.remove(&endpoint.id);
         }
-        if self.told.get(&endpoint.id).is_some_and(|(_, stage)| *stage == endpoint.stage) {
-            self.told.remove(&endpoint.id);
+        if self.peer_changing.get(&endpoint.id).is_some_and(|(_, stage)| *stage == endpoint.stage) {
+            self.peer_changing.remove(&endpoint.id);
         }
     }
 
     /// An order was refused or cannot be given: the endpoint stays as it is.
-    pub fn dropped(&mut self, endpoint: &str) {
+    pub fn cancel(&mut self, endpoint: &str) {
         self.changing.remove(endpoint);
     }
 
     /// The next change that the split of a service calls for. `rank` counts the entries that go
     /// before this one: only the first decides. Each sees other requests, and if any of them might
     /// order, the one that is furthest off would.
-    pub fn next(
+    pub fn next_order(
         &mut self,
         now: Time,
-        service: &Known<'_>,
+        service: &ServiceInfo<'_>,
         directory: &Directory,
         loads: &Loads,
         rank: u32,
     ) -> Option<Order> {
         let name = service.name;
         self.changing.retain(|_, (until, _)| *until > now);
-        self.told.retain(|_, (until, _)| *until > now);
+        self.peer_changing.retain(|_, (until, _)| *until > now);
         let engines: Vec<&Arc<Endpoint>> =
             directory.serving(name).filter(|endpoint| endpoint.stage != Stage::Whole).collect();
-        let wanted = self.readers(now, service, engines.len())?;
-        let readers = engines.iter().filter(|endpoint| self.stage(endpoint) == Stage::Prefill).count();
-        let excess = readers as f64 - wanted;
-        if excess.abs() < WORTH_A_SWITCH {
-            self.off.remove(name);
+        let target = self.prefill_target(now, service, engines.len())?;
+        let prefilling =
+            engines.iter().filter(|endpoint| self.target_stage(endpoint) == Stage::Prefill).count();
+        let excess = prefilling as f64 - target;
+        if excess.abs() < MIN_IMBALANCE {
+            self.imbalanced.remove(name);
             return None;
         }
         let (from, to) =
             if excess > 0.0 { (Stage::Prefill, Stage::Decode) } else { (Stage::Decode, Stage::Prefill) };
-        let off = self.off.entry(name.clone()).or_insert((now, from));
-        if off.1 != from {
-            *off = (now, from);
+        let imbalance = self.imbalanced.entry(name.clone()).or_insert((now, from));
+        if imbalance.1 != from {
+            *imbalance = (now, from);
         }
-        let lasting = if to == Stage::Prefill { LASTING_TO_READ } else { LASTING };
-        if rank > 0 || now.since(off.0) < lasting {
+        let delay = if to == Stage::Prefill { TO_PREFILL_DELAY } else { TO_DECODE_DELAY };
+        if rank > 0 || now.since(imbalance.0) < delay {
             return None;
         }
-        let is_due = self.ordered.is_none_or(|at| now.since(at) >= ORDER_PAUSE);
-        if !is_due || self.changing.len() + self.told.len() >= MOST_CHANGES {
+        let is_due = self.last_order.is_none_or(|at| now.since(at) >= MIN_ORDER_INTERVAL);
+        if !is_due || self.changing.len() + self.peer_changing.len() >= MAX_CHANGES {
             return None;
         }
-        let movable = engines.into_iter().filter(|endpoint| endpoint.stage == from);
-        let idle = movable.filter(|endpoint| !self.is_changing(now, &endpoint.id));
-        let endpoint = idle.min_by_key(|endpoint| busy(now, loads, endpoint))?.clone();
-        self.ordered = Some(now);
-        self.changing.insert(endpoint.id.clone(), (now.plus(LONGEST_CHANGE), to));
+        let candidates = engines.into_iter().filter(|endpoint| endpoint.stage == from);
+        let idle = candidates.filter(|endpoint| !self.is_changing(now, &endpoint.id));
+        let endpoint = idle.min_by_key(|endpoint| pending_work(now, loads, endpoint))?.clone();
+        self.last_order = Some(now);
+        self.changing.insert(endpoint.id.clone(), (now.plus(CHANGE_TIMEOUT), to));
         Some(Order { endpoint, stage: to })
     }
 
     /// The stage that an endpoint has, or will have.
-    fn stage(&self, endpoint: &Endpoint) -> Stage {
-        let change = self.changing.get(&endpoint.id).or_else(|| self.told.get(&endpoint.id));
+    fn target_stage(&self, endpoint: &Endpoint) -> Stage {
+        let change = self.changing.get(&endpoint.id).or_else(|| self.peer_changing.get(&endpoint.id));
         change.map_or(endpoint.stage, |(_, stage)| *stage)
     }
 }
 
 /// What an endpoint has to finish before it can change.
-fn busy(now: Time, loads: &Loads, endpoint: &Endpoint) -> u64 {
+fn pending_work(now: Time, loads: &Loads, endpoint: &Endpoint) -> u64 {
     loads.get(&endpoint.id).map_or(0, |load| {
-        let all = load.all(now);
+        let all = load.total(now);
         all.reading + all.memory
     })
 }
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -14,9 +14,9 @@
     forecast::{Forecast, Forecasts, Observation},
     growth::Growth,
     health::Outcome,
-    load::{Lease, Length, Loads},
-    placement::{Pairing, Reader, Run, Turn, View, spare},
-    pools::{Known, Order, Pools},
+    load::{Estimate, Lease, Loads},
+    placement::{Partition, Placement, Prefill, Run, View, headroom},
+    pools::{Order, Pools, ServiceInfo},
     queue::{Entry, Queue, Verdict},
     staleness::{Staleness, Versions},
     suspect::Suspects,
@@ -181,14 +181,14 @@
             match change {
                 Change::Restarted(endpoint) => {
                     self.suspects.crashed(now, &endpoint.id);
-                    self.pools.dropped(&endpoint.id);
+                    self.pools.cancel(&endpoint.id);
                 }
                 Change::Gone(endpoint) => {
                     self.suspects.crashed(now, &endpoint.id);
                     self.loads.forget(&endpoint.id);
                     self.forecasts.forget(&endpoint.service, &endpoint.id);
                 }
-                Change::Seen(endpoint) => self.pools.seen(endpoint),
+                Change::Seen(endpoint) => self.pools.confirm(endpoint),
                 Change::Leaving(_) | Change::Lapsed(_) => {}
             }
         }
@@ -211,11 +211,11 @@
         }
         self.staleness.heard(now, digest.versions);
         self.allowance.heard(now, digest);
-        self.loads.heard(now, digest);
+        self.loads.merge_digest(now, digest);
         self.suspects.heard(digest);
         self.forecasts.merge_peer(&digest.name, &digest.forecasts);
         for (endpoint, change) in &digest.changing {
-            self.pools.heard(now, endpoint, *change);
+            self.pools.merge_change(now, endpoint, *change);
         }
     }
 
@@ -237,8 +237,8 @@
             members,
             spent,
             left,
-            shares: self.loads.own(),
-            failing: self.loads.own_failing(now),
+            shares: self.loads.local(),
+            failing: self.loads.local_failure_ratios(now),
             changing: self.pools.changes(now),
             suspects: self.suspects.told(now),
             versions: self.staleness.own(),
@@ -280,7 +280,7 @@
             let message = format!("{name} has {left} tokens left, asked {asked}; rate {rate}, burst {burst}");
             return Err(Refusal::not_run(Code::OverRate, message).retry_after(wait));
         }
-        self.budget.request(now, &admission.service);
+        self.budget.record_request(now, &admission.service);
         Ok(())
     }
 
@@ -293,13 +293,13 @@
 
     /// Whether a request may be sent to a further endpoint; pays for it if so.
     pub fn retry(&mut self, now: Time, service: &Arc<str>) -> bool {
-        self.budget.extra(now, service, self.peers.count())
+        self.budget.try_spend(now, service, self.peers.count())
     }
 
     /// What a service's requests are split into, at this moment.
     pub fn is_split(&self, now: Time, service: &str) -> bool {
         let view = self.view(now);
-        view.has(service, Stage::Decode) || view.has(service, Stage::Prefill)
+        view.has_stage(service, Stage::Decode) || view.has_stage(service, Stage::Prefill)
     }
 
     /// An endpoint for a whole request.
@@ -313,7 +313,7 @@
     pub fn prefill(&mut self, now: Time, prompt: &Prompt) -> Option<Place> {
         let Prompt { service, tokens, ttft_target, zone, avoid } = prompt;
         let ttft_target = target_or_default(*ttft_target);
-        let Reader::Endpoint(endpoint) = self.view(now).prefill(service, *tokens, ttft_target, zone, avoid)
+        let Prefill::Endpoint(endpoint) = self.view(now).prefill(service, *tokens, ttft_target, zone, avoid)
         else {
             return None;
         };
@@ -325,7 +325,7 @@
         let forecast = self.forecasts.service(&completion.service);
         let engine = self.engine(&completion.service);
         if let Some(engine) = &engine {
-            self.pools.note(now, &completion.service, engine, completion.size);
+            self.pools.record_request(now, &completion.service, engine, completion.size);
         }
         let mut waiting = completion.into_entry(&forecast, tag);
         // What is larger than an endpoint's memory runs alone, as far as its answer fits.
@@ -342,14 +342,14 @@
         if self.directory.get(&endpoint.id).is_none() {
             return;
         }
-        let memory = self.loads.get(&endpoint.id).map_or(0, |load| load.all(now).memory);
+        let memory = self.loads.get(&endpoint.id).map_or(0, |load| load.total(now).memory);
         self.forecasts.record(now, &endpoint.service, &endpoint.id, memory, observation);
     }
 
     /// Takes events that a run has made.
     pub fn made(&mut self, lease: &Lease, service: &str, events: u64) {
         let event_tokens = self.forecasts.service(service).output_length_or_default().event_tokens;
-        self.loads.made(lease, (events as f64 * event_tokens) as u64);
+        self.loads.record_tokens(lease, (events as f64 * event_tokens) as u64);
     }
 
     /// What is known of a service's endpoints together.
@@ -376,14 +376,14 @@
         catalog.services().find_map(|service| {
             let forecast = forecasts.service(&service.name);
             let engine = service.engine.as_ref()?;
-            let known = Known { name: &service.name, engine, forecast: &forecast };
-            pools.next(now, &known, directory, loads, rank)
+            let info = ServiceInfo { name: &service.name, engine, forecast: &forecast };
+            pools.next_order(now, &info, directory, loads, rank)
         })
     }
 
     /// An order was not carried out.
     pub fn order_dropped(&mut self, endpoint: &str) {
-        self.pools.dropped(endpoint);
+        self.pools.cancel(endpoint);
     }
 
     /// Places those in the line whom there is room for.
@@ -404,16 +404,16 @@
         let spread = self.forecasts.service(service).output_length_or_default().spread;
         let run = Run {
             prompt: size.prompt,
-            growth: Growth::of(*size, 0, spread),
-            spare: spare(&engine, waiting.is_late(now)),
+            growth: Growth::for_run(*size, 0, spread),
+            headroom: headroom(&engine, waiting.is_late(now)),
             gap: *gap,
             ttft_target: *ttft_target,
             avoid,
         };
-        let Pairing { endpoint, reader } = self.view(now).pair(service, &engine, &run)?;
+        let Placement { endpoint, reader } = self.view(now).pair(service, &engine, &run)?;
         let reading = if reader.is_some() { 0 } else { size.prompt };
         let share = Share { running: 1, memory: *memory, reading, ..Share::default() };
-        let run = self.take(now, endpoint, share, Some(Length { size: *size, spread }));
+        let run = self.take(now, endpoint, share, Some(Estimate { size: *size, spread }));
         let reader = reader.map(|reader| self.take_reader(now, reader, size.prompt, *ttft_target));
         Some(Pair { run, reader })
     }
@@ -439,12 +439,12 @@
         let endpoint = self.directory.get(&lease.endpoint);
         let forecast = endpoint.map(|endpoint| self.forecasts.endpoint(now, &endpoint.service, &endpoint.id));
         let rest = forecast.unwrap_or_default().typical_event_interval() * REST_EVENTS;
-        self.loads.answered(now, lease, rest);
+        self.loads.record_first_event(now, lease, rest);
     }
 
     /// A request has ended at its endpoint.
     pub fn ended(&mut self, now: Time, lease: &Lease, outcome: Outcome) {
-        self.loads.give_back(now, lease, outcome);
+        self.loads.release(now, lease, outcome);
         if outcome == Outcome::Unreachable {
             self.suspects.crashed(now, &lease.endpoint);
         }
@@ -527,16 +527,16 @@
             forecasts: &self.forecasts,
             zone: &self.identity.zone,
             entry: &self.identity.name,
-            turn: self.turn(),
+            partition: self.partition(),
         }
     }
 
-    fn turn(&self) -> Turn {
-        Turn { rank: self.peers.position(), count: self.peers.count() }
+    fn partition(&self) -> Partition {
+        Partition { index: self.peers.position(), count: self.peers.count() }
     }
 
-    fn take(&mut self, now: Time, endpoint: Arc<Endpoint>, share: Share, answer: Option<Length>) -> Place {
-        let lease = self.loads.take_run(now, &endpoint.id, share, answer);
+    fn take(&mut self, now: Time, endpoint: Arc<Endpoint>, share: Share, answer: Option<Estimate>) -> Place {
+        let lease = self.loads.acquire_run(now, &endpoint.id, share, answer);
         Place { endpoint, lease, tokens: 0, limit: Duration::ZERO }
     }
 
@@ -547,7 +547,7 @@
         prompt: u64,
         ttft_target: Duration,
     ) -> Place {
-        let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.all(now).reading);
+        let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.total(now).reading);
         let forecast = self.forecasts.endpoint(now, &endpoint.service, &endpoint.id);
         let tokens = ahead + prompt;
         let limit = forecast.prefill_timeout(tokens, ttft_target);
--- a/crates/core/tests/gateway/budget.rs
+++ b/crates/core/tests/gateway/budget.rs
@@ -17,9 +17,9 @@
     let (mut requests, mut extras) = (0.0, 0.0);
     for now in (10_000..19_000).step_by(50) {
         for entry in &mut entries {
-            entry.request(at(now), &service);
+            entry.record_request(at(now), &service);
             requests += 1.0;
-            extras += if entry.extra(at(now), &service, 4) { 1.0 } else { 0.0 };
+            extras += if entry.try_spend(at(now), &service, 4) { 1.0 } else { 0.0 };
         }
     }
     assert!(extras <= RULE.ratio * requests + RULE.slack, "{extras} of {requests}");
@@ -30,10 +30,10 @@
 fn the_window_slides() {
     let service: Arc<str> = "filing".into();
     let mut budget = Budget::new(RULE, at(0));
-    let used = (0..100).filter(|_| budget.extra(at(20_000), &service, 1)).count();
+    let used = (0..100).filter(|_| budget.try_spend(at(20_000), &service, 1)).count();
     assert!(used > 0 && used < 40, "{used}");
-    assert!(!budget.extra(at(29_000), &service, 1));
-    assert!(budget.extra(at(30_100), &service, 1));
+    assert!(!budget.try_spend(at(29_000), &service, 1));
+    assert!(budget.try_spend(at(30_100), &service, 1));
 }
 
 /// All entries are killed at once while answers are lost, and start again: each knows nobody, took
@@ -44,9 +44,9 @@
     let mut extras = 0;
     for _ in 0..4 {
         let mut old = Budget::new(RULE, at(0));
-        extras += (0..50).filter(|_| old.extra(at(20_000), &service, 4)).count();
+        extras += (0..50).filter(|_| old.try_spend(at(20_000), &service, 4)).count();
         let mut new = Budget::new(RULE, at(21_000));
-        extras += (0..50).filter(|_| new.extra(at(21_000), &service, 1)).count();
+        extras += (0..50).filter(|_| new.try_spend(at(21_000), &service, 1)).count();
     }
     assert!(extras as f64 <= RULE.slack, "{extras}");
 }
--- a/crates/core/tests/gateway/forecast.rs
+++ b/crates/core/tests/gateway/forecast.rs
@@ -13,8 +13,8 @@
     learned(SMALL).service("drafting")
 }
 
-fn summary(expected: u64) -> Size {
-    Size { prompt: 5_000, expected, most: 1_870 }
+fn summary(expected_output: u64) -> Size {
+    Size { prompt: 5_000, expected_output, max_output: 1_870 }
 }
 
 /// An entry is told to stop, and 5.4 s later a caller still reaches it, since hardly any other entry
@@ -38,7 +38,7 @@
 
 #[test]
 fn no_answer_is_longer_than_the_longest_asked_for() {
-    let size = Size { prompt: 5_000, expected: 300, most: 300 };
+    let size = Size { prompt: 5_000, expected_output: 300, max_output: 300 };
     assert!(small().finishes_within(Duration::from_millis(2_250), size, false));
 }
 
--- a/crates/core/tests/gateway/pools.rs
+++ b/crates/core/tests/gateway/pools.rs
@@ -5,9 +5,9 @@
 use tarragonhill_core::gateway::{
     directory::{Directory, Endpoint, Stage},
     forecast::{Forecasts, Size},
-    lease::{Claim, GAP, Reading, TERM, may_claim},
+    lease::{Claim, HANDOVER_DELAY, LEASE_DURATION, Snapshot, claimable_version},
     load::Loads,
-    pools::{Known, Order, Pools},
+    pools::{Order, Pools, ServiceInfo},
 };
 
 use crate::{SMALL, Sheet, at, endpoint, engine, gone, learned, row};
@@ -25,8 +25,13 @@
 }
 
 /// Has pools see a request.
-fn note(pools: &mut Pools, now: u64, prompt: u64, expected: u64) {
-    pools.note(at(now), &"drafting".into(), &engine(), Size { prompt, expected, most: expected });
+fn note(pools: &mut Pools, now: u64, prompt: u64, expected_output: u64) {
+    pools.record_request(
+        at(now),
+        &"drafting".into(),
+        &engine(),
+        Size { prompt, expected_output, max_output: expected_output },
+    );
 }
 
 /// What the pools of the service should do, with its engines known.
@@ -44,21 +49,21 @@
     forecasts: &Forecasts,
 ) -> Option<Order> {
     let forecast = forecasts.service("drafting");
-    let known = Known { name: &"drafting".into(), engine: &engine(), forecast: &forecast };
-    pools.next(at(now), &known, directory, &Loads::default(), rank)
+    let info = ServiceInfo { name: &"drafting".into(), engine: &engine(), forecast: &forecast };
+    pools.next_order(at(now), &info, directory, &Loads::default(), rank)
 }
 
 /// Plays 60 s of requests of one size and carries out every order; gives the readers at the end and
 /// the orders given.
-fn play(directory: &mut Directory, prompt: u64, expected: u64) -> (usize, Vec<Order>) {
+fn play(directory: &mut Directory, prompt: u64, expected_output: u64) -> (usize, Vec<Order>) {
     let mut pools = Pools::default();
     let mut orders = Vec::new();
     for now in (0..60_000).step_by(100) {
-        note(&mut pools, now, prompt, expected);
+        note(&mut pools, now, prompt, expected_output);
         let Some(order) = next(&mut pools, now, directory, 0) else { continue };
         let changed = Endpoint { stage: order.stage, ..Endpoint::clone(&order.endpoint) };
         directory.update(at(now), 1_000 + now, vec![row(1_000 + now, changed.clone())]);
-        pools.seen(&changed);
+        pools.confirm(&changed);
         orders.push(order);
     }
     let readers = directory.all().filter(|endpoint| endpoint.stage == Stage::Prefill).count();
@@ -128,11 +133,11 @@
     assert!(pools.is_changing(at(5_000), &order.endpoint.id));
     let mut other = Pools::default();
     for (endpoint, change) in pools.changes(at(5_000)) {
-        other.heard(at(5_000), &endpoint, change);
+        other.merge_change(at(5_000), &endpoint, change);
     }
     assert!(other.is_changing(at(5_100), &order.endpoint.id));
     assert!(!other.is_changing(at(60_000), &order.endpoint.id));
-    pools.dropped(&order.endpoint.id);
+    pools.cancel(&order.endpoint.id);
     assert!(!pools.is_changing(at(5_200), &order.endpoint.id));
 }
 
@@ -173,13 +178,13 @@
 #[test]
 fn a_claim_passes_on_only_after_the_last_order_under_it() {
     let claim = |holder: &str, asked_ms| Claim { holder: holder.into(), asked_ms, version: 7 };
-    let reading = |claim, now_ms| Reading { claim, now_ms };
-    assert_eq!(may_claim(&reading(None, 50), "a"), Some(0));
-    assert_eq!(may_claim(&reading(Some(claim("a", 1_000)), 1_001), "a"), Some(7));
-    let passes = 1_000 + (TERM + GAP).as_millis() as u64;
-    assert_eq!(may_claim(&reading(Some(claim("a", 1_000)), passes - 1), "b"), None);
-    assert_eq!(may_claim(&reading(Some(claim("a", 1_000)), passes), "b"), Some(7));
-    assert!(GAP > Duration::from_secs(3));
+    let snapshot = |claim, now_ms| Snapshot { claim, now_ms };
+    assert_eq!(claimable_version(&snapshot(None, 50), "a"), Some(0));
+    assert_eq!(claimable_version(&snapshot(Some(claim("a", 1_000)), 1_001), "a"), Some(7));
+    let passes = 1_000 + (LEASE_DURATION + HANDOVER_DELAY).as_millis() as u64;
+    assert_eq!(claimable_version(&snapshot(Some(claim("a", 1_000)), passes - 1), "b"), None);
+    assert_eq!(claimable_version(&snapshot(Some(claim("a", 1_000)), passes), "b"), Some(7));
+    assert!(HANDOVER_DELAY > Duration::from_secs(3));
 }
 
 /// Two entries saw the same excess one after the other, and both moved an endpoint for it: the second
@@ -195,7 +200,7 @@
         }
         moved += usize::from(next(&mut first, now, &directory, 0).is_some());
         for (endpoint, change) in first.changes(at(now)) {
-            second.heard(at(now), &endpoint, change);
+            second.merge_change(at(now), &endpoint, change);
         }
         moved += usize::from(next(&mut second, now, &directory, 0).is_some());
     }
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -50,7 +50,7 @@
 fn completion(memory: u64) -> Completion {
     Completion {
         service: "drafting".into(),
-        size: Size { prompt: memory, expected: 0, most: 0 },
+        size: Size { prompt: memory, expected_output: 0, max_output: 0 },
         received: at(0),
         deadline: at(14_000),
         ttft_target: Duration::from_millis(900),
@@ -110,10 +110,10 @@
     assert_eq!((pairs.len(), own.len()), (7, 1));
     let mut lease = own[0].run.lease.clone();
     state.answered(at(200), &lease);
-    lease.read();
+    lease.clear_prefill();
     assert_eq!(state.pump(at(350)).len(), 1);
     state.ended(at(3_000), &lease, Outcome::Abandoned);
-    assert_eq!(state.loads().get("d-1").map(|load| load.own.reading), Some(4_000));
+    assert_eq!(state.loads().get("d-1").map(|load| load.local.reading), Some(4_000));
 }
 
 /// A long prompt that a decode endpoint read itself would hold up its ten other runs for longer than
@@ -186,7 +186,7 @@
     for sheet in sheets {
         let mut state = serving();
         let answer = 10_000_000 / sheet.token_us;
-        let size = Size { prompt: 5_000, expected: answer, most: answer * 2 };
+        let size = Size { prompt: 5_000, expected_output: answer, max_output: answer * 2 };
         for now in [0, 1_000] {
             let completion =
                 Completion { size, received: at(now), deadline: at(now + 14_000), ..completion(0) };
@@ -226,7 +226,7 @@
 fn what_cannot_end_in_time_is_refused_at_once() {
     let mut state = serving();
     show(&mut state, 0, SMALL);
-    let size = Size { prompt: 5_000, expected: 12_000, most: 12_000 };
+    let size = Size { prompt: 5_000, expected_output: 12_000, max_output: 12_000 };
     state.line_up(at(10), Completion { size, ..completion(0) }, 1);
     assert!(matches!(&state.pump(at(10))[..], [(_, Verdict::Expired)]));
     assert!(state.memory_free_after("drafting") > Duration::from_millis(1_000));
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -116,7 +116,7 @@
     /// The size of a completion; zero for a plain call.
     pub(crate) fn size(&self) -> Size {
         let tokens = self.call.tokens.unwrap_or_default();
-        Size { prompt: tokens.prompt, expected: tokens.expected_output(), most: tokens.output }
+        Size { prompt: tokens.prompt, expected_output: tokens.expected_output(), max_output: tokens.output }
     }
 
     pub(crate) fn priority(&self) -> u8 {
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -89,7 +89,7 @@
     pub fn answered(&mut self) {
         self.outcome = Outcome::Abandoned;
         self.control.tell(Command::Answered(self.lease.clone()));
-        self.lease.read();
+        self.lease.clear_prefill();
     }
 
     /// Tokens of memory that are promised to the request.
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -261,7 +261,7 @@
             .all()
             .map(|endpoint| {
                 let load = self.state.loads().get(&endpoint.id);
-                let all = load.map(|load| load.all(now)).unwrap_or_default();
+                let all = load.map(|load| load.total(now)).unwrap_or_default();
                 serde_json::json!({
                     "id": endpoint.id, "service": endpoint.service, "zone": endpoint.zone,
                     "stage": endpoint.stage.to_string(), "leaving": endpoint.leaving,
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -9,7 +9,7 @@
         catalog::Catalog,
         digest::Member,
         directory::{Endpoint, Stage},
-        lease::Reading,
+        lease::Snapshot,
         state::Listing,
     },
 };
@@ -181,7 +181,7 @@
 /// The claim on orders, in the store.
 pub trait Claims: Send + 'static {
     /// Reads the claim.
-    fn read(&mut self) -> Boxed<'_, Result<Reading, String>>;
+    fn read(&mut self) -> Boxed<'_, Result<Snapshot, String>>;
 
     /// Writes a claim if the row still has a version (0: if there is none); gives the new version,
     /// or nothing if somebody else was faster.
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -7,7 +7,7 @@
 
 use async_channel::Receiver;
 use tarragonhill_core::gateway::{
-    lease::{TERM, may_claim},
+    lease::{LEASE_DURATION, claimable_version},
     pools::Order,
 };
 
@@ -68,7 +68,7 @@
     };
     // A process that was held up between the claim and the order might speak into the next
     // holder's turn.
-    if began.elapsed() >= TERM {
+    if began.elapsed() >= LEASE_DURATION {
         return End::Dropped("the claim is too old".into());
     }
     let command = Command { stage: order.stage, holder, token, orders: report.orders };
@@ -82,9 +82,9 @@
 
 /// Writes the claim; gives the fencing token.
 async fn claim(holder: &str, claims: &mut dyn Claims) -> Result<u64, String> {
-    let reading = claims.read().await?;
-    let version = may_claim(&reading, holder).ok_or("another entry has the claim")?;
-    let written = claims.write(holder, reading.now_ms, version).await?;
+    let snapshot = claims.read().await?;
+    let version = claimable_version(&snapshot, holder).ok_or("another entry has the claim")?;
+    let written = claims.write(holder, snapshot.now_ms, version).await?;
     written.ok_or_else(|| "another entry was faster".into())
 }
 
--- a/crates/gateway/src/stream/passing.rs
+++ b/crates/gateway/src/stream/passing.rs
@@ -93,7 +93,10 @@
             exchange.keep();
             let size = inbound.size();
             untold.tell(context.clock.now(), &ticket);
-            ticket.observed(Observation::Completed { expected: size.expected, events: answer.pace.events });
+            ticket.observed(Observation::Completed {
+                expected: size.expected_output,
+                events: answer.pace.events,
+            });
             return Ok(());
         };
         held.extend_from_slice(&part);
