--- a/crates/core/src/gateway/budget.rs
+++ b/crates/core/src/gateway/budget.rs
@@ -1,8 +1,8 @@
-//! How often requests may be sent to a further endpoint, over all entries together.
+//! Retry budget, shared by all replicas.
 //!
-//! In any window the further sends of a service stay below a part of its requests plus a fixed
-//! slack. Each entry counts only its own and takes its even part of the slack, so the sum holds
-//! without a word between them.
+//! In any window, the retries of a service stay below a fraction of its requests plus a fixed
+//! slack. Each replica counts only its own requests and uses an equal share of the slack, so the
+//! limit holds without coordination.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -12,24 +12,25 @@
 
 use crate::clock::Time;
 
-/// Part of the budget that is used: entries join and leave within a window, and are counted late.
+/// Fraction of the budget that is used. Leaves a margin for replicas that join or leave within a
+/// window.
 const USABLE_FRACTION: f64 = 0.7;
-/// Part of its slack that an entry takes in its first window: with what the process before it used,
-/// [`USABLE_FRACTION`] x 1.4 stays below the whole.
+/// Fraction of its share of the slack that a replica uses in its first window. Its previous process
+/// may have used its own share within the same window.
 const STARTUP_FRACTION: f64 = 0.4;
-/// Entries that an entry counts with before it has heard them.
+/// Lower bound of the replica count during the first window, before the others are discovered.
 const MIN_STARTUP_SHARERS: u32 = 4;
-/// Events are counted in buckets of this length.
+/// Granularity of the sliding window.
 const BUCKET_DURATION: Duration = Duration::from_millis(500);
 
-/// The rule that the budget keeps.
+/// Limit on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rule {
-    /// Further sends for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Further sends on top, over all entries.
+    /// Further retries allowed per window, over all replicas.
     pub slack: f64,
-    /// The length of the window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
@@ -40,27 +41,27 @@
     retries: u32,
 }
 
-/// What was sent of late, by service.
+/// Requests and retries within the window, by service.
 #[derive(Clone, Debug)]
 pub struct Budget {
     rule: Rule,
-    /// When this entry started_at.
     started_at: Time,
     services: BTreeMap<Arc<str>, VecDeque<Bucket>>,
 }
 
 impl Budget {
-    /// A budget under a rule, of an entry that starts now.
+    /// Creates the budget of a replica that starts now.
     pub fn new(rule: Rule, now: Time) -> Self {
         Self { rule, started_at: now, services: BTreeMap::new() }
     }
 
-    /// Counts a request of a caller.
+    /// Records a request of a caller.
     pub fn record_request(&mut self, now: Time, service: &Arc<str>) {
         self.bucket(now, service).requests += 1;
     }
 
-    /// Whether a request may be sent once more; pays for it if so. `sharers` entries share the slack.
+    /// Whether a request may be retried; records the retry if so. `sharers` replicas share the
+    /// slack.
     pub fn try_spend(&mut self, now: Time, service: &Arc<str>, sharers: u32) -> bool {
         self.bucket(now, service);
         let buckets = &self.services[service];
@@ -74,8 +75,7 @@
         true
     }
 
-    /// This entry's part of the slack. In its first window it takes less: the process before it may
-    /// have used its part in the same window, and it does not know the others yet.
+    /// Returns this replica's share of the slack.
     fn slack(&self, now: Time, sharers: u32) -> f64 {
         if now.since(self.started_at) < self.rule.window {
             return self.rule.slack * STARTUP_FRACTION / f64::from(sharers.max(MIN_STARTUP_SHARERS));
--- a/crates/core/src/gateway/completion.rs
+++ b/crates/core/src/gateway/completion.rs
@@ -1,4 +1,4 @@
-//! Completions that ask for their places, and the prompts that are read for them.
+//! Completion requests to be placed, and prompts to be prefilled.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,53 +8,54 @@
 };
 use crate::clock::Time;
 
-/// Time to the first event that is taken for on time where the operator declares none.
+/// Time-to-first-token target where the operator declares none.
 const DEFAULT_TTFT_TARGET: Duration = Duration::from_secs(1);
 
-/// A prompt that is to be read.
+/// A prompt to be prefilled.
 #[derive(Clone, Debug)]
 pub struct Prompt {
-    /// The service.
+    /// Service that the prompt is for.
     pub service: Arc<str>,
-    /// Its tokens.
+    /// Length of the prompt, in tokens.
     pub tokens: u64,
-    /// Time to the first event that is on time.
+    /// Target for the time to the first event.
     pub ttft_target: Duration,
-    /// The availability zone where the result goes.
+    /// Availability zone of the decode endpoint that gets the result.
     pub zone: Arc<str>,
-    /// Endpoints that have failed it.
+    /// Endpoints that failed the prompt before.
     pub avoid: Vec<Arc<str>>,
 }
 
-/// A completion that asks for its places.
+/// A completion request to be placed.
 #[derive(Clone, Debug)]
 pub struct Completion {
-    /// The service.
+    /// Service that the request is for.
     pub service: Arc<str>,
-    /// What it asks for.
+    /// Prompt and output size.
     pub size: Size,
-    /// When it had been read.
+    /// When the request had been received completely.
     pub received: Time,
-    /// When the caller or the operator gives up.
+    /// When the caller disconnects or the route times out.
     pub deadline: Time,
-    /// Time to the first event that is on time.
+    /// Target for the time to the first event; zero if none is declared.
     pub ttft_target: Duration,
-    /// Longest pause between events that is on time; zero if none is declared.
+    /// Target for the longest pause between events; zero if none is declared.
     pub gap: Duration,
-    /// How long the caller bears to see no event.
+    /// How long the caller waits for an event before it disconnects.
     pub silence: Duration,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Endpoints that have failed it.
+    /// Endpoints that failed the request before.
     pub avoid: Vec<Arc<str>>,
 }
 
 impl Completion {
-    /// The completion as it waits in the queue: how late it may start, by what is known of its service.
+    /// Converts the request into a queue entry, with start deadlines from the forecast of its
+    /// service.
     pub(super) fn into_entry<T>(self, forecast: &Forecast, tag: T) -> Entry<T> {
         let Self { service, size, received, deadline, ttft_target, gap, silence, priority, avoid } = self;
         let ttft_target = target_or_default(ttft_target);
-        // The caller leaves at its deadline, and before it if it sees no event for too long.
+        // The caller disconnects at its deadline, or earlier if it gets no event for too long.
         let by_deadline = deadline.minus(forecast.known_total_time(size));
         let by_silence = received.plus(silence).minus(forecast.known_first_event_time(size.prompt));
         Entry {
@@ -72,7 +73,7 @@
     }
 }
 
-/// The aim that an operator declared, or one in its place.
+/// Returns the declared target, or the default if it is zero.
 pub(super) fn target_or_default(ttft_target: Duration) -> Duration {
     if ttft_target.is_zero() { DEFAULT_TTFT_TARGET } else { ttft_target }
 }
--- a/crates/core/src/gateway/forecast.rs
+++ b/crates/core/src/gateway/forecast.rs
@@ -1,11 +1,9 @@
-//! How long parts of a request take and what memory they need, learned from what requests took.
+//! Forecasts of prefill time, decode time and output length.
 //!
-//! Engines differ by orders of magnitude, and one changes its speed with its load and its health. So
-//! nothing here comes from the sheet of an engine: each endpoint's times are fitted to what this
-//! entry's requests saw there, and a service's are those of the endpoint in the middle. Nobody is
-//! refused by a forecast that no observation confirms.
-//!
-//! Memory: some thirty numbers an endpoint that was used, dropped when it is gone.
+//! Engines differ by orders of magnitude and slow down under load, so forecasts are fitted to the
+//! requests that this replica observed at each endpoint, not to a specification. The forecast of a
+//! service is the median over its endpoints. Without observations, default values apply, and no
+//! request is refused because of them.
 
 mod fit;
 mod output;
@@ -21,140 +19,136 @@
 };
 use crate::clock::Time;
 
-/// Reading may take this many times as long as expected: others' word of what they sent comes late,
-/// and some endpoints are slow.
+/// A prefill may take this many times as long as forecast. Reports of other replicas' prompts
+/// arrive late, and endpoint speeds vary.
 const PREFILL_TIMEOUT_FACTOR: u32 = 2;
-/// Part of the aim that an idle endpoint may take longer than expected. One that has gone dark shows in
-/// nothing else, and a prompt asked again by then can still be on time.
+/// Further prefill time allowed, as a fraction of the time-to-first-token target. Short enough that
+/// a second endpoint can still meet the target.
 const PREFILL_TIMEOUT_SLACK: f64 = 0.45;
 
-/// A decode endpoint that reads a prompt between the tokens of its runs does so at half the speed of one
-/// that only reads, by the platform's protocol; assumed until it was seen.
+/// How many times longer a prefill takes at a decode endpoint than at a prefill endpoint, until one
+/// was observed.
 const LOCAL_PREFILL_SLOWDOWN: f64 = 2.0;
 
-/// Seconds for each token of a prompt, before any was read.
 const DEFAULT_PREFILL_SECS_PER_TOKEN: f64 = 20e-6;
-/// Seconds to a first event, before any was seen.
 const DEFAULT_FIRST_EVENT_SECS: f64 = 0.05;
-/// Seconds between two events, before any was seen.
 const DEFAULT_EVENT_INTERVAL_SECS: f64 = 0.05;
 
-/// Longest time of a run that is peer, seconds: far above every deadline, and far below what a duration
-/// holds.
+/// Upper bound of forecast decode times, so that they fit into a [`Duration`].
 const MAX_DECODE_SECS: f64 = 1e8;
 
-/// A size at which rates are compared; any does, since they grow in proportion.
+/// Prompt size at which endpoints' prefill rates are compared. Rates are proportional to the size,
+/// so any value gives the same median.
 const REFERENCE_PROMPT_TOKENS: u64 = 1_000;
 
-/// What was seen of an endpoint counts for this long; then it is taken to be like the others, so that
-/// one that was slow gets work again.
+/// Age at which an endpoint's own observations are ignored and the service forecast is used
+/// instead. Gives an endpoint that was slow a new chance.
 const ENDPOINT_DATA_TTL: Duration = Duration::from_secs(10);
 
-/// How far above its estimate an answer is expected while the balancer still sends callers to a process
-/// that stops, in sigmas of their logarithm: nine in ten are shorter. Other entries may be stopping in
-/// the same seconds, so a refusal may be the caller's last.
+/// Safety margin on the output length during shutdown, in standard deviations of its logarithm,
+/// while the load balancer may still route callers here. Other replicas may be shutting down too,
+/// so refusing too eagerly leaves callers without an alternative.
 const LENGTH_SIGMAS: f64 = 1.3;
-/// The same later, when other entries take new callers: a refusal costs them some 50 ms, while a stream
-/// that may run once is lost when it is cut. Three answers in a thousand are longer.
+/// The same once the load balancer routes new callers elsewhere. A refused caller then retries at
+/// another replica, while a stream that cannot be resumed is lost when the process exits.
 const STRICT_LENGTH_SIGMAS: f64 = 2.75;
 
-/// Memory that a run takes on average over its time, tokens: its answer grows from nothing to
-/// `expected`. Runs at different points of their answers take such means together; promising each its
-/// longest answer leaves a part of the memory of a full endpoint empty.
+/// Returns the mean KV cache use of a request over its lifetime, in tokens: the output grows from
+/// zero to its expected length.
 pub fn mean_memory(prompt: u64, expected_output: u64) -> u64 {
     prompt + expected_output / 2
 }
 
-/// What a stream asks for, tokens.
+/// Size of a completion request, in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Size {
-    /// Its prompt.
+    /// Length of the prompt.
     pub prompt: u64,
-    /// Its answer as the caller estimates it; at most `most`.
+    /// Output length estimated by the caller, at most `max_output`.
     pub expected_output: u64,
-    /// Its longest answer.
+    /// Largest output that the request allows.
     pub max_output: u64,
 }
 
-/// What a request showed of its endpoint.
+/// Measurement taken from a request at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
-    /// A prompt was read, behind those that were there before it.
+    /// A prefill endpoint finished a prompt.
     Prefill {
-        /// Prompt tokens, of those before it too.
+        /// Tokens of the prompt and of those queued before it.
         tokens: u64,
-        /// From sending it to the answer.
+        /// Time from sending the prompt to the response.
         took: Duration,
     },
-    /// A prompt was not read within this time, and not waited for any longer.
+    /// A prefill endpoint did not finish a prompt within its timeout.
     PrefillTimeout {
-        /// Prompt tokens, of those before it too.
+        /// Tokens of the prompt and of those queued before it.
         tokens: u64,
-        /// How long it was waited for.
+        /// Time from sending the prompt to the timeout.
         waited: Duration,
     },
-    /// A run from a prompt read elsewhere has begun.
+    /// The first event of a run whose prompt was processed by a prefill endpoint.
     FirstEvent {
-        /// Prompt tokens.
+        /// Length of the prompt, in tokens.
         prompt: u64,
-        /// From sending it to the first event.
+        /// Time from sending the run to its first event.
         took: Duration,
     },
-    /// A run has begun whose prompt the endpoint read itself.
+    /// The first event of a run whose prompt the decode endpoint processed itself.
     LocalPrefill {
-        /// Prompt tokens.
+        /// Length of the prompt, in tokens.
         prompt: u64,
-        /// From sending it to the first event.
+        /// Time from sending the run to its first event.
         took: Duration,
     },
-    /// Events came.
+    /// Events of a run after the first.
     Events {
-        /// How many.
+        /// Number of events.
         events: u64,
-        /// In this time.
+        /// Time in which they arrived.
         span: Duration,
     },
-    /// An answer ended well.
+    /// A run completed normally.
     Completed {
-        /// Tokens that the caller expected.
+        /// Output length estimated by the caller, in tokens.
         expected: u64,
-        /// Events that came.
+        /// Number of events of the output.
         events: u64,
     },
 }
 
-/// What is known of one endpoint, or of all endpoints of a service together; `None` where nothing was
-/// seen.
+/// Forecast for one endpoint or for a service. A field is `None` without enough observations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Forecast {
-    /// Reading prompts, by tokens.
+    /// Prefill time by prompt tokens, at a prefill endpoint.
     pub prefill: Option<Trend>,
-    /// From sending a run to its first event, by tokens of its prompt.
+    /// Time from sending a run to its first event, by prompt tokens.
     pub first_event: Option<Trend>,
-    /// Reading prompts beside runs, by tokens.
+    /// Prefill time by prompt tokens, at a decode endpoint.
     pub local_prefill: Option<Trend>,
-    /// Between two events, by tokens in memory.
+    /// Time between two events of a run, by KV cache tokens in use.
     pub event_interval: Option<Trend>,
-    /// Tokens in memory that `event` was mostly seen with.
+    /// Typical number of KV cache tokens in use when `event_interval` was observed.
     pub memory: u64,
-    /// How answers compare to estimates.
+    /// Distribution of output lengths.
     pub output_length: Option<OutputLength>,
 }
 
 impl Forecast {
-    /// How long reading takes.
+    /// Returns the time a prefill endpoint needs for this many prompt tokens.
     pub fn prefill_time(&self, tokens: u64) -> Duration {
         self.prefill.unwrap_or(Trend { base: 0.0, slope: DEFAULT_PREFILL_SECS_PER_TOKEN }).at(tokens)
     }
 
-    /// How long to wait for a prompt to be read, with `tokens` in all to be read until then, before
-    /// another endpoint is asked.
+    /// Returns the timeout after which a prompt is sent to another endpoint. `tokens` includes the
+    /// prompts queued before it.
     pub fn prefill_timeout(&self, tokens: u64, aim: Duration) -> Duration {
         let limit = self.prefill_time(tokens) * PREFILL_TIMEOUT_FACTOR + aim.mul_f64(PREFILL_TIMEOUT_SLACK);
         if self.prefill.is_some() { limit } else { limit.max(aim) }
     }
 
-    /// How long the runs of a decode endpoint pause, altogether, while it reads a prompt.
+    /// Returns the time a decode endpoint needs to process a prompt itself; its runs stall
+    /// meanwhile.
     pub fn local_prefill_time(&self, tokens: u64) -> Duration {
         match self.local_prefill {
             Some(own) => own.at(tokens),
@@ -162,12 +156,12 @@
         }
     }
 
-    /// From sending a run to its first event.
+    /// Returns the time from sending a run to its first event.
     pub fn first_event_time(&self, prompt: u64) -> Duration {
         self.first_event.unwrap_or(Trend { base: DEFAULT_FIRST_EVENT_SECS, slope: 0.0 }).at(prompt)
     }
 
-    /// Time between two events of a run at an endpoint with as much in memory as was mostly seen.
+    /// Returns the time between two events at the typical memory use.
     pub fn typical_event_interval(&self) -> Duration {
         self.event_interval_at(self.memory)
     }
@@ -176,31 +170,31 @@
         self.event_interval.unwrap_or(Trend { base: DEFAULT_EVENT_INTERVAL_SECS, slope: 0.0 }).at(memory)
     }
 
-    /// How answers compare to estimates, as far as it is known.
+    /// Returns the distribution of output lengths, or a default without observations.
     pub fn output_length_or_default(&self) -> OutputLength {
         self.output_length.unwrap_or_default()
     }
 
-    /// How long a run takes behind its first event, for a number of tokens, at an endpoint with as much in
-    /// memory as was mostly seen.
+    /// Returns the time from the first event of a run to its last, at the typical memory use.
     pub fn decode_time(&self, tokens: u64) -> Duration {
         self.decode_time_at(tokens, self.memory)
     }
 
-    /// The same at an endpoint with `memory` tokens in memory.
+    /// Returns the same at an endpoint with `memory` KV cache tokens in use.
     pub fn decode_time_at(&self, tokens: u64, memory: u64) -> Duration {
         let gap = self.event_interval_at(memory).as_secs_f64();
         let events = tokens as f64 / self.output_length_or_default().event_tokens.max(f64::MIN_POSITIVE);
         Duration::from_secs_f64((gap * events).min(MAX_DECODE_SECS))
     }
 
-    /// Whether times of runs rest on observations.
+    /// Whether enough runs were observed to forecast decode times.
     pub fn has_decode_data(&self) -> bool {
         self.event_interval.is_some() && self.output_length.is_some()
     }
 
-    /// The time from placing a request to its end that is certain enough to refuse it for; zero where
-    /// nothing was seen.
+    /// Returns the time from placement to the end of a request, counting only parts with
+    /// observations, so that it is safe to refuse a request because of it. Zero without decode
+    /// data.
     pub fn known_total_time(&self, size: Size) -> Duration {
         if !self.has_decode_data() {
             return Duration::ZERO;
@@ -208,21 +202,23 @@
         self.known_first_event_time(size.prompt) + self.decode_time(size.expected_output)
     }
 
-    /// The same up to the first event.
+    /// Returns the same up to the first event.
     pub fn known_first_event_time(&self, prompt: u64) -> Duration {
         let prefill = self.prefill.map_or(Duration::ZERO, |trend| trend.at(prompt));
         let first_event = self.first_event.map_or(Duration::ZERO, |trend| trend.at(prompt));
         prefill + first_event
     }
 
-    /// Half the time of a run, after which half of what is in memory has ended; none if it is unknown.
+    /// Returns half the decode time of a typical run, about when half of the memory in use becomes
+    /// free. `None` without decode data.
     pub fn half_decode_time(&self) -> Option<Duration> {
         self.has_decode_data()
             .then(|| self.typical_event_interval().mul_f64(self.output_length_or_default().events / 2.0))
     }
 
-    /// Whether a stream that begins now at a process that stops ends within `left`. `is_in_rotation` tells
-    /// that the balancer may not have noticed the stop yet.
+    /// Whether a stream that starts now is expected to finish within `left`, the time until the
+    /// process exits. `is_in_rotation` tells whether the load balancer may still route callers
+    /// here.
     pub fn finishes_within(&self, left: Duration, size: Size, is_in_rotation: bool) -> bool {
         let sigmas = if is_in_rotation { LENGTH_SIGMAS } else { STRICT_LENGTH_SIGMAS };
         let factor = (self.output_length_or_default().spread * sigmas).exp();
@@ -231,7 +227,7 @@
     }
 }
 
-/// What was seen of one endpoint.
+/// Observed times of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 struct Speed {
     prefill: Rate,
@@ -244,12 +240,12 @@
 struct Service {
     endpoints: BTreeMap<Arc<str>, Speed>,
     output_lengths: OutputLengths,
-    /// Of the endpoint in the median, as of the last [`Forecasts::recompute`].
+    /// Median over the endpoints, as of the last [`Forecasts::recompute`].
     typical: Forecast,
-    /// The same by another entry; stands in while this one has seen nothing.
+    /// Forecast reported by another replica, used where this one has no observations.
     peer: Forecast,
-    /// What each other entry saw of answers. Each sees few, and together they know several times sooner how
-    /// long answers are.
+    /// Output lengths reported by other replicas. A single replica sees few requests, so they are
+    /// averaged.
     peer_output_lengths: BTreeMap<Arc<str>, OutputLength>,
 }
 
@@ -259,7 +255,7 @@
     }
 
     fn recompute(&mut self) {
-        // Endpoints that have gone dark say nothing of how fast the others are, unless no other is left.
+        // Unresponsive endpoints are left out of the median unless no other is left.
         let rate = |of: fn(&Speed) -> &Rate| {
             let rates = || self.endpoints.values().map(of);
             let known = |rate: &Rate| Some((rate.trend()?, REFERENCE_PROMPT_TOKENS));
@@ -286,12 +282,12 @@
     }
 }
 
-/// The forecasts of all services.
+/// Forecasts of all services.
 #[derive(Clone, Debug, Default)]
 pub struct Forecasts(BTreeMap<Arc<str>, Service>);
 
 impl Forecasts {
-    /// Takes what a request showed of an endpoint that has `memory` tokens in memory.
+    /// Records an observation made at an endpoint with `memory` KV cache tokens in use.
     pub fn record(
         &mut self,
         now: Time,
@@ -318,17 +314,18 @@
         }
     }
 
-    /// Works out what is typical of each service; call it several times a second.
+    /// Recomputes the service forecasts. Must be called several times a second.
     pub fn recompute(&mut self) {
         self.0.values_mut().for_each(Service::recompute);
     }
 
-    /// What is typical of a service.
+    /// Returns the forecast of a service.
     pub fn service(&self, service: &str) -> Forecast {
         self.0.get(service).map(|service| service.typical).unwrap_or_default()
     }
 
-    /// The same for one endpoint, by what was seen there of late.
+    /// Returns the forecast of one endpoint: its own recent observations, or else the service
+    /// forecast.
     pub fn endpoint(&self, now: Time, service: &str, endpoint: &str) -> Forecast {
         let Some(service) = self.0.get(service) else { return Forecast::default() };
         let typical = service.typical;
@@ -347,12 +344,13 @@
         }
     }
 
-    /// What is typical, by service.
+    /// Returns the forecasts of all services.
     pub fn typical(&self) -> BTreeMap<Arc<str>, Forecast> {
         self.0.iter().map(|(name, service)| (name.clone(), service.typical)).collect()
     }
 
-    /// The same for the other entries: of answers only those seen here, so that none counts twice.
+    /// Returns the forecasts to report to other replicas. Output lengths include only local
+    /// observations, so that none counts twice.
     pub fn local(&self) -> BTreeMap<Arc<str>, Forecast> {
         let mut own = self.typical();
         own.retain(|_, forecast| *forecast != Forecast::default());
@@ -362,7 +360,7 @@
         own
     }
 
-    /// Takes what another entry finds typical.
+    /// Merges the forecasts that another replica reported.
     pub fn merge_peer(&mut self, peer: &Arc<str>, forecasts: &BTreeMap<Arc<str>, Forecast>) {
         for (name, forecast) in forecasts {
             let service = self.0.entry(name.clone()).or_default();
@@ -376,14 +374,14 @@
         }
     }
 
-    /// Forgets what an entry told that is gone.
+    /// Drops the output lengths reported by a replica that is gone.
     pub fn forget_peer(&mut self, peer: &str) {
         for service in self.0.values_mut() {
             service.peer_output_lengths.remove(peer);
         }
     }
 
-    /// Forgets an endpoint that is gone.
+    /// Drops the observations of an endpoint that is gone.
     pub fn forget(&mut self, service: &str, endpoint: &str) {
         if let Some(service) = self.0.get_mut(service) {
             service.endpoints.remove(endpoint);
--- a/crates/core/src/gateway/forecast/fit.rs
+++ b/crates/core/src/gateway/forecast/fit.rs
@@ -1,33 +1,33 @@
-//! A straight line through observations, of which the newest count most.
+//! Exponentially weighted linear regression of a time on a size.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Part of its weight that an observation keeps with each one that follows: the last ten decide, so
-/// that a change of speed is followed within some requests.
+/// Weight kept by earlier observations with each new one. Low enough to follow a change of speed
+/// within some requests.
 const DECAY: f64 = 0.9;
-/// Weight of observations from which a line says something.
+/// Total weight of observations needed for a trend.
 const MIN_WEIGHT: f64 = 2.5;
-/// One observation moves the line as if it were delta by this factor at most: one request that was held
-/// up, or a sick endpoint's, must not undo what all others showed.
+/// Largest factor by which an observation may deviate from the trend; larger ones are clamped, so
+/// that a single delayed request has little effect.
 const MAX_OUTLIER_FACTOR: f64 = 4.0;
-/// Sizes that differ by less than this part of their mean hardly tell how the time grows with them.
+/// Pulls the slope towards zero while observed sizes vary by less than this fraction of their mean.
 const SLOPE_REGULARIZATION: f64 = 0.5;
-/// Longest time that is believed, seconds.
+/// Longest plausible time, in seconds.
 const MAX_SECS: f64 = 60.0;
 
-/// A time that grows with a size.
+/// Linear dependence of a time on a size in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Trend {
     /// Seconds at size zero.
     pub base: f64,
-    /// Seconds more for each token.
+    /// Seconds per token.
     pub slope: f64,
 }
 
 impl Trend {
-    /// The time at a size in tokens.
+    /// Returns the time at a size in tokens.
     pub fn at(&self, size: u64) -> Duration {
         Duration::from_secs_f64(self.seconds(size as f64))
     }
@@ -38,24 +38,24 @@
     }
 }
 
-/// Observations of one time, fading.
+/// Running sums of the regression.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fit {
     weight: f64,
-    /// Mean size, tokens.
+    /// Mean size, in tokens.
     size: f64,
-    /// Mean time, seconds.
+    /// Mean time, in seconds.
     time: f64,
-    /// Weighted sum of squares of the sizes' distances from their mean.
+    /// Weighted sum of squared deviations of the size.
     spread: f64,
-    /// Weighted sum of products of both distances.
+    /// Weighted sum of products of the deviations of size and time.
     product: f64,
-    /// When the newest was made.
+    /// Time of the newest observation.
     at: Time,
 }
 
 impl Fit {
-    /// Takes an observation; one that makes no sense is left out.
+    /// Adds an observation. Implausible times are ignored.
     pub fn add(&mut self, now: Time, size: u64, time: Duration) {
         let (size, seconds) = (size as f64, time.as_secs_f64());
         if seconds <= 0.0 || seconds > MAX_SECS {
@@ -80,31 +80,31 @@
         self.at = now;
     }
 
-    /// The line, as level as the observations allow; none while too little was estimates.
+    /// Returns the regularized trend, or `None` with too few observations.
     pub fn trend(&self) -> Option<Trend> {
         if self.weight < MIN_WEIGHT {
             return None;
         }
         let regularization = self.weight * (self.size * SLOPE_REGULARIZATION).powi(2).max(1.0);
         let slope = (self.product / (self.spread + regularization)).max(0.0);
-        // A line that crosses zero at some size would give no time at all below it.
+        // Keeps the base from becoming negative, which would forecast zero for small sizes.
         let slope = slope.min(self.time / self.size.max(1.0));
         Some(Trend { base: self.time - slope * self.size, slope })
     }
 
-    /// Mean size of what was estimates, tokens.
+    /// Returns the mean observed size, in tokens.
     pub fn size(&self) -> u64 {
         self.size as u64
     }
 
-    /// When the newest observation was made.
+    /// Returns the time of the newest observation.
     pub fn at(&self) -> Time {
         self.at
     }
 }
 
-/// The line in the middle of several, at their common size: what most endpoints show, whatever a few sick
-/// ones do.
+/// Returns the median of trends at their median size, and that size. A few slow endpoints don't
+/// affect it.
 pub fn median(known: impl Iterator<Item = (Trend, u64)>) -> Option<(Trend, u64)> {
     let (mut trends, mut sizes): (Vec<Trend>, Vec<u64>) = known.unzip();
     let last = trends.len().checked_sub(1)?;
--- a/crates/core/src/gateway/forecast/output.rs
+++ b/crates/core/src/gateway/forecast/output.rs
@@ -1,42 +1,41 @@
-//! How answers compare to what callers expected of them.
+//! Output lengths compared to the callers' estimates.
 
-/// Part of its weight that an answer keeps with each one that follows: the last fifty decide.
+/// Weight kept by earlier outputs with each new one.
 const DECAY: f64 = 0.98;
-/// OutputLengths from which the comparison says something.
+/// Total weight of observations needed for an estimate.
 const MIN_WEIGHT: f64 = 2.5;
-/// Spread that is prior before answers were estimates, of the logarithm: one answer in six is longer
-/// than 1.6 times its estimate.
+/// Standard deviation of the logarithm assumed before any observation.
 const PRIOR_SPREAD: f64 = 0.5;
-/// OutputLengths that the prior spread counts for.
+/// Number of observations that the prior spread counts for.
 const PRIOR_WEIGHT: f64 = 5.0;
 
-/// Tokens expected for each event that came, as a distribution of their logarithm. Estimates are
-/// right in the middle, so the middle tells how many tokens an event carries.
+/// Running log-normal statistics of estimated tokens per observed event. The median of callers'
+/// estimates is accurate, so the mean of the logarithm gives the tokens per event.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutputLengths {
     weight: f64,
     mean: f64,
-    /// Weighted sum of squares of the distances from the mean.
+    /// Weighted sum of squared distances from the mean.
     squares: f64,
-    /// Mean number of events of an answer.
+    /// Mean number of events per output.
     events: f64,
 }
 
-/// What is known of answers.
+/// Estimated distribution of output lengths.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutputLength {
-    /// Tokens that an event carries.
+    /// Tokens per event.
     pub event_tokens: f64,
-    /// Spread of the logarithm of an answer's length against its estimate.
+    /// Standard deviation of the logarithm of an output's actual over its estimated length.
     pub spread: f64,
-    /// Events of an answer, on average.
+    /// Mean number of events per output.
     pub events: f64,
-    /// OutputLengths that this rests on; the oldest count less.
+    /// Number of observations behind the estimate, with older ones counting less.
     pub weight: f64,
 }
 
 impl OutputLengths {
-    /// Takes an answer that ended well.
+    /// Adds a completed output.
     pub fn add(&mut self, expected: u64, events: u64) {
         if expected == 0 || events == 0 {
             return;
@@ -49,7 +48,7 @@
         self.events += (events as f64 - self.events) / self.weight;
     }
 
-    /// What the answers show; none while too few were estimates.
+    /// Returns the estimate, or `None` with too few observations.
     pub fn estimate(&self) -> Option<OutputLength> {
         if self.weight < MIN_WEIGHT {
             return None;
@@ -65,7 +64,7 @@
     }
 }
 
-/// What several entries saw, each as much as it rests on; none if nobody saw any.
+/// Combines the estimates of several replicas, weighted by their observations. `None` without any.
 pub fn weighted_mean<'a>(estimates: impl Iterator<Item = &'a OutputLength>) -> Option<OutputLength> {
     let estimates: Vec<&OutputLength> = estimates.filter(|answer| answer.weight > 0.0).collect();
     let weight: f64 = estimates.iter().map(|answer| answer.weight).sum();
--- a/crates/core/src/gateway/forecast/rate.rs
+++ b/crates/core/src/gateway/forecast/rate.rs
@@ -1,32 +1,31 @@
-//! How long each token takes, where what was seen may hold waiting that nobody told of.
+//! Time per token, robust against queueing that this replica cannot see.
 
 use std::time::Duration;
 
 use super::Trend;
 use crate::clock::Time;
 
-/// Observations that are kept: few enough that a change of speed is followed within some requests.
+/// Number of samples kept. Low enough to follow a change of speed within some requests.
 const WINDOW: usize = 8;
-/// Observations from which a rate says something.
+/// Number of samples needed for a rate.
 const MIN_SAMPLES: usize = 3;
-/// Part of the observations that are faster than what is taken for the rate. Waiting behind prompts of
-/// other entries only adds, so what an endpoint needs by itself lies at the lower edge; the fastest alone
-/// may be one that found its prompt read already.
+/// Quantile of the samples taken as the rate. Queueing behind other replicas' prompts only adds
+/// time, so the rate lies at the lower end. The minimum itself may be a cache hit.
 const QUANTILE: f64 = 0.25;
 
-/// Seconds for each token, of the newest observations.
+/// Window of the newest samples, in seconds per token.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rate {
     samples: [f64; WINDOW],
-    /// How many were ever taken.
+    /// Number of samples ever added.
     count: usize,
-    /// Whether the newest was not waited for to its end.
+    /// Whether the newest request timed out.
     timed_out: bool,
     at: Time,
 }
 
 impl Rate {
-    /// Takes an observation; one that makes no sense is left out.
+    /// Adds a sample. Zero tokens or times are ignored.
     pub fn add(&mut self, now: Time, tokens: u64, time: Duration) {
         if tokens == 0 || time.is_zero() {
             return;
@@ -37,7 +36,8 @@
         self.at = now;
     }
 
-    /// Takes that something took at least this long, and was not waited for any longer.
+    /// Adds a lower bound from a request that timed out. Counts as a sample only if it exceeds the
+    /// current rate.
     pub fn add_at_least(&mut self, now: Time, tokens: u64, time: Duration) {
         if self.trend().is_none_or(|trend| trend.at(tokens) < time) {
             self.add(now, tokens, time);
@@ -45,12 +45,12 @@
         self.timed_out = true;
     }
 
-    /// Whether the endpoint answered last time.
+    /// Whether the newest request was answered.
     pub fn is_responsive(&self) -> bool {
         !self.timed_out
     }
 
-    /// The time in proportion to tokens; none while too little was estimates.
+    /// Returns a trend proportional to the size, or `None` with too few samples.
     pub fn trend(&self) -> Option<Trend> {
         let known = self.count.min(WINDOW);
         if known < MIN_SAMPLES {
@@ -61,7 +61,7 @@
         Some(Trend { base: 0.0, slope: sorted[((known - 1) as f64 * QUANTILE) as usize] })
     }
 
-    /// When the newest observation was made.
+    /// Returns the time of the newest sample.
     pub fn at(&self) -> Time {
         self.at
     }
--- a/crates/core/src/gateway/growth.rs
+++ b/crates/core/src/gateway/growth.rs
@@ -1,38 +1,36 @@
-//! Memory of an endpoint's runs over time, as their answers grow and end.
+//! Expected KV cache use of an endpoint's runs over time.
 //!
-//! Where answers are as long as prompts, what a run takes doubles until its end, and when it ends is known
-//! only as well as its caller's estimate. All runs of an endpoint make tokens in the same steps, so time is
-//! counted in tokens ahead, whatever the engine's speed.
+//! A run's memory grows with its output until it ends. All runs of an endpoint decode in lockstep,
+//! so time is counted in decoded tokens, independent of the engine's speed.
 
 use std::ops::{Add, AddAssign};
 
 use super::forecast::Size;
 
-/// Tokens ahead at which memory is looked at: from now to the end of long answers.
+/// Numbers of further decoded tokens at which memory use is computed.
 pub const HORIZONS: [u64; 8] = [0, 256, 512, 1_024, 2_048, 4_096, 8_192, 16_384];
 
-/// Steepness of a logistic curve over the logarithm that has the spread of a normal one, times the spread.
+/// Steepness, times the spread, at which a logistic curve approximates a normal distribution.
 const STEEPNESS: f64 = 1.7;
-/// Standard deviations of a run's being still there that are kept free besides. One for each of nine runs is
-/// three of all together, which holds nearly always; without, an endpoint whose answers are as long as
-/// prompts is overfilled in bursts, and a run is preempted, pauses and is read again.
+/// Standard deviations of memory use reserved per run in addition to its mean. Avoids preemptions
+/// when a burst of runs reaches an endpoint together.
 const DEVIATIONS_RESERVED: f64 = 1.0;
-/// Spreads below this would make every answer end at its estimate to the token.
+/// Lower bound of the spread, which keeps the steepness finite.
 const MIN_SPREAD: f64 = 0.05;
 
-/// Memory that is to be kept for runs at each of [`HORIZONS`], tokens: what they are expected to take, and some
-/// more where it is open whether they still run.
+/// Memory to reserve at each of [`HORIZONS`], in tokens: the expected use, with a margin where it
+/// is uncertain whether the run has ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Growth(pub [u32; HORIZONS.len()]);
 
 impl Growth {
-    /// Memory that neither grows nor becomes free.
+    /// Returns a constant memory use.
     pub fn flat(memory: u64) -> Self {
         Self([to_tokens(memory as f64); HORIZONS.len()])
     }
 
-    /// The memory of a run that has made `made` tokens of its answer, whose length may be off from its
-    /// estimate by `spread`, of the logarithm.
+    /// Returns the memory of a run that has generated `generated` tokens. `spread` is the standard
+    /// deviation of the logarithm of its output length against the estimate.
     pub fn for_run(size: Size, generated: u64, spread: f64) -> Self {
         let now = survival(size, generated as f64, spread).max(f64::MIN_POSITIVE);
         Self(HORIZONS.map(|ahead| {
@@ -43,13 +41,13 @@
         }))
     }
 
-    /// The most that is taken at any time.
+    /// Returns the largest memory use over all horizons.
     pub fn peak(&self) -> u64 {
         u64::from(self.0.iter().copied().max().unwrap_or_default())
     }
 }
 
-/// Part of the answers of a size that are longer than a number of tokens.
+/// Returns the probability that an output is longer than `tokens`.
 fn survival(size: Size, tokens: f64, spread: f64) -> f64 {
     if tokens <= 0.0 {
         return 1.0;
@@ -62,7 +60,7 @@
 }
 
 fn to_tokens(tokens: f64) -> u32 {
-    // A cast of a float stops at the type's bounds.
+    // The cast saturates.
     tokens as u32
 }
 
--- a/crates/core/src/gateway/lease.rs
+++ b/crates/core/src/gateway/lease.rs
@@ -1,41 +1,41 @@
-//! Which entry may order endpoints about.
+//! Lease on the right to change the stages of endpoints.
 //!
-//! Endpoints do not check who orders them, so two entries must not take turns. The right to order
-//! is a row of the store that is written under a condition just before each order; the version that
-//! the write got is the order's fencing token, and grows with every order of anybody. Whoever wrote
-//! it may use it for [`LEASE_DURATION`]; anybody else waits [`LEASE_DURATION`] and [`HANDOVER_DELAY`] behind the moment that the row
-//! names, by the store's clock. Nobody's own clock is compared with another's, and a holder that was
-//! suspended has to write again before its next order.
+//! Endpoints accept orders from any replica, so only one replica at a time may send them. The lease
+//! is a row of the store, written conditionally before each order; the version of that write is the
+//! order's fencing token. The holder may act for [`LEASE_DURATION`] after a write. Another replica
+//! waits for a further [`HANDOVER_DELAY`]. All times are of the store's clock, so replicas' clocks
+//! are never compared.
 
 use std::{sync::Arc, time::Duration};
 
-/// How long a written claim may be used, counted by its holder from before it asked the store.
+/// How long the holder may act after a write, counted from before it read the store.
 pub const LEASE_DURATION: Duration = Duration::from_secs(2);
-/// Silence between the last order of one holder and the first of the next. Endpoints' owners judge
-/// turns within three seconds as two holders at once.
+/// Further time before another replica may take the lease. Orders of two holders within three
+/// seconds count as a conflict.
 pub const HANDOVER_DELAY: Duration = Duration::from_secs(4);
 
-/// The row, as it was read.
+/// The lease's row in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// The entry that wrote it.
+    /// Replica that wrote the row.
     pub holder: Arc<str>,
-    /// The store's clock when the holder asked, before it wrote; milliseconds.
+    /// Store's clock before the write, in milliseconds.
     pub asked_ms: u64,
-    /// The row's version; the fencing token of orders under this claim.
+    /// Version of the row; the fencing token of orders.
     pub version: u64,
 }
 
-/// What the store says of the claim.
+/// The lease as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The row; none if nobody has ever claimed.
+    /// The row; `None` before the first write.
     pub claim: Option<Claim>,
-    /// The store's clock, milliseconds.
+    /// The store's clock, in milliseconds.
     pub now_ms: u64,
 }
 
-/// Whether an entry may write the claim now; gives the version that the row must still have.
+/// Returns the row version that a write must be conditional on, or `None` while another replica
+/// holds the lease.
 pub fn claimable_version(snapshot: &Snapshot, own: &str) -> Option<u64> {
     let Some(claim) = &snapshot.claim else { return Some(0) };
     let lapsed = claim.asked_ms + (LEASE_DURATION + HANDOVER_DELAY).as_millis() as u64;
--- a/crates/core/src/gateway/load.rs
+++ b/crates/core/src/gateway/load.rs
@@ -1,4 +1,4 @@
-//! What is under way at each endpoint, by this entry's own requests and the others' digests.
+//! Load of each endpoint: this replica's own requests and those that other replicas report.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -10,27 +10,25 @@
 };
 use crate::clock::Time;
 
-/// A digest older than this says nothing of what runs now.
+/// Age at which another replica's digest no longer counts.
 const STALE: Duration = Duration::from_secs(3);
-/// Prompts that another entry was having read count as read if its digest is older than this, six
-/// digests. A frozen entry that had both readers busy otherwise kept all others from reading for
-/// [`STALE`].
+/// Age at which prompts reported by another replica count as processed. Shorter than [`STALE`], so
+/// that a replica that hangs does not block prefill endpoints for the others.
 const PREFILL_STALE: Duration = Duration::from_millis(600);
-/// After an endpoint refused for want of memory it is taken as full for this long: about the time
-/// in which one of ten running requests ends.
+/// How long an endpoint counts as full after it refused a run for lack of memory.
 const FULL_DURATION: Duration = Duration::from_millis(100);
 
-/// Failed part of the outcomes above which the others are told: one failure in twenty answers.
+/// Lowest failure ratio that is reported to other replicas.
 const MIN_REPORTED_FAILURE_RATIO: f64 = 0.05;
 
-/// A request that takes memory.
+/// A run that occupies KV cache memory.
 #[derive(Clone, Copy, Debug)]
 struct Run {
-    /// Tokens promised to it.
+    /// Reserved tokens.
     memory: u64,
-    /// How long its answer gets, if that is known.
+    /// Output estimate; without one, the reserved memory is taken as constant.
     output: Option<Estimate>,
-    /// Tokens of its answer so far.
+    /// Output tokens generated so far.
     generated: u64,
 }
 
@@ -43,35 +41,35 @@
     }
 }
 
-/// How long an answer is expected to get.
+/// Estimate of a run's output length.
 #[derive(Clone, Copy, Debug)]
 pub struct Estimate {
-    /// What the request asks for.
+    /// Prompt and output size.
     pub size: Size,
-    /// How far answers are off from their estimates, of the logarithm.
+    /// Standard deviation of the logarithm of the actual over the estimated length.
     pub spread: f64,
 }
 
-/// What is under way at one endpoint.
+/// Load of one endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    /// By this entry.
+    /// Share of this replica.
     pub local: Share,
-    /// This entry's requests that take memory, by number.
+    /// This replica's runs by request number.
     runs: BTreeMap<u64, Run>,
-    /// By the others, with the time at which each said so.
+    /// Shares of other replicas, with the time of each report.
     peers: BTreeMap<Arc<str>, (Time, Share)>,
-    /// Failed part of the others' outcomes, thousandths, with the time at which each said so.
+    /// Failure ratios reported by other replicas, in thousandths, with the time of each report.
     peer_failure_ratios: BTreeMap<Arc<str>, (Time, u16)>,
-    /// How its requests have ended of late.
+    /// Recent outcomes of this replica's requests.
     pub health: Health,
     full_until: Time,
-    /// When its runs have had a rest from the last prompt that it read beside them.
+    /// When the endpoint may process the next prompt beside its runs.
     prefill_ready_at: Time,
 }
 
 impl Load {
-    /// By all entries.
+    /// Returns the load from all replicas.
     pub fn total(&self, now: Time) -> Share {
         let fresh = self.peers.values().filter(|(at, _)| now.since(*at) < STALE);
         fresh.fold(self.local, |sum, (at, share)| Share {
@@ -82,63 +80,65 @@
         })
     }
 
-    /// Works out what this entry's runs take over time; call it whenever one comes, goes or makes tokens.
+    /// Recomputes the memory growth of this replica's runs. Must be called whenever one starts,
+    /// ends or generates tokens.
     fn update_growth(&mut self) {
         self.local.growth = self.runs.values().fold(Growth::default(), |sum, run| sum + run.growth());
     }
 
-    /// Failed part of the newest outcomes, as the entry that fared worst saw it: each sees few of an
-    /// endpoint's answers, and together they know four times sooner that it fails.
+    /// Returns the highest recent failure ratio reported by any replica. Each replica sees few
+    /// requests, so this detects a failing endpoint sooner.
     pub fn failure_ratio(&self, now: Time) -> f64 {
         let fresh = self.peer_failure_ratios.values().filter(|(at, _)| now.since(*at) < STALE);
         fresh.map(|(_, failing)| f64::from(*failing) / 1_000.0).fold(self.health.failing(now), f64::max)
     }
 
-    /// Whether it reads no prompt beside its runs, and its runs have had a rest from the last.
+    /// Whether a decode endpoint may process a prompt: none is in flight, and its runs have had
+    /// time to progress since the last.
     pub fn is_ready_for_prefill(&self, now: Time) -> bool {
         self.prefill_ready_at <= now && self.total(now).reading == 0
     }
 
-    /// Whether it refused for want of room a moment ago.
+    /// Whether the endpoint refused a run for lack of memory a moment ago.
     pub fn is_full(&self, now: Time) -> bool {
         self.full_until > now
     }
 }
 
-/// One request's part in an endpoint's load; handed back when it ends.
+/// Load that one request puts on an endpoint; released when the request ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// The endpoint.
+    /// Endpoint ID.
     pub endpoint: Arc<str>,
-    /// What is taken there.
+    /// The request's share of the load.
     pub share: Share,
     number: u64,
     sent_at: Time,
 }
 
 impl Lease {
-    /// The lease without the prompt, once that has been read.
+    /// Removes the prompt from the lease once it has been processed.
     pub fn clear_prefill(&mut self) {
         self.share.reading = 0;
     }
 }
 
-/// The loads of all endpoints.
+/// Loads of all endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct Loads(BTreeMap<Arc<str>, Load>);
 
 impl Loads {
-    /// The load of an endpoint; none if nothing was ever sent there.
+    /// Returns the load of an endpoint; `None` if nothing was ever sent there.
     pub fn get(&self, endpoint: &str) -> Option<&Load> {
         self.0.get(endpoint)
     }
 
-    /// Notes a request that is sent now.
+    /// Records a request that is sent now.
     pub fn acquire(&mut self, now: Time, endpoint: &Arc<str>, share: Share) -> Lease {
         self.acquire_run(now, endpoint, share, None)
     }
 
-    /// Notes a run that is sent now, whose memory grows with its answer if that is known.
+    /// Records a run that is sent now. With an output estimate, its memory grows over time.
     pub fn acquire_run(
         &mut self,
         now: Time,
@@ -158,9 +158,9 @@
         Lease { endpoint: endpoint.clone(), share, number, sent_at: now }
     }
 
-    /// Notes an answer's beginning: what follows says nothing of how fast the endpoint answers. Its
-    /// prompt has been read by then; [`Lease::read`] takes it off the lease. A decode endpoint that read
-    /// it beside its runs reads the next one after `rest`.
+    /// Records the first event of a response, by which the prompt has been processed. The caller
+    /// then updates its lease with [`Lease::clear_prefill`]. After a prefill beside its runs, the
+    /// endpoint gets no other for `pause`.
     pub fn record_first_event(&mut self, now: Time, lease: &Lease, pause: Duration) {
         if let Some(load) = self.0.get_mut(&lease.endpoint) {
             load.local.reading = load.local.reading.saturating_sub(lease.share.reading);
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Notes tokens that a run has made.
+    /// Records output tokens of a run.
     pub fn record_tokens(&mut self, lease: &Lease, tokens: u64) {
         let Some(load) = self.0.get_mut(&lease.endpoint) else { return };
         if let Some(run) = load.runs.get_mut(&lease.number) {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Takes a lease back.
+    /// Releases a lease when its request ends.
     pub fn release(&mut self, now: Time, lease: &Lease, outcome: Outcome) {
         let Some(load) = self.0.get_mut(&lease.endpoint) else { return };
         load.local.running = load.local.running.saturating_sub(lease.share.running);
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Takes another entry's digest.
+    /// Replaces the load last reported by another replica.
     pub fn merge_digest(&mut self, now: Time, digest: &Digest) {
         for load in self.0.values_mut() {
             load.peers.remove(&digest.name);
@@ -211,20 +211,21 @@
         }
     }
 
-    /// What this entry has taken, by endpoint; endpoints with nothing left out.
+    /// Returns this replica's shares by endpoint, without idle endpoints.
     pub fn local(&self) -> BTreeMap<Arc<str>, Share> {
         let busy = self.0.iter().filter(|(_, load)| load.local != Share::default());
         busy.map(|(endpoint, load)| (endpoint.clone(), load.local)).collect()
     }
 
-    /// Failed part of this entry's newest outcomes, thousandths, where it is worth telling.
+    /// Returns this replica's failure ratios by endpoint, in thousandths, where high enough to
+    /// report.
     pub fn local_failure_ratios(&self, now: Time) -> BTreeMap<Arc<str>, u16> {
         let ratios = self.0.iter().map(|(endpoint, load)| (endpoint, load.health.failing(now)));
         let reported = ratios.filter(|(_, failing)| *failing >= MIN_REPORTED_FAILURE_RATIO);
         reported.map(|(endpoint, failing)| (endpoint.clone(), (failing * 1_000.0) as u16)).collect()
     }
 
-    /// Forgets an endpoint that is gone, unless requests still run there.
+    /// Drops an endpoint that is gone, unless requests are still in flight there.
     pub fn forget(&mut self, endpoint: &str) {
         if self.0.get(endpoint).is_some_and(|load| load.local == Share::default()) {
             self.0.remove(endpoint);
--- a/crates/core/src/gateway/placement.rs
+++ b/crates/core/src/gateway/placement.rs
@@ -1,4 +1,4 @@
-//! Which endpoint takes a request.
+//! Selection of the endpoints for a request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,112 +14,108 @@
 };
 use crate::clock::{Time, micros};
 
-/// An endpoint whose failure ratio is this far above the best of its service is left out while
-/// another can take the request. Ten calls with one failure stay below it; an endpoint that fails
-/// two in five goes above it.
+/// Endpoints whose failure ratio exceeds the lowest of their service by more than this are used
+/// only if no other can take the request. Tolerates a single failure in ten requests.
 const MAX_EXCESS_FAILURE_RATIO: f64 = 0.3;
-/// An answer from another availability zone counts this much slower, so that the own zone is taken
-/// where both are alike: bytes between zones cost.
+/// Factor on the expected response time of an endpoint in another availability zone.
 const CROSS_ZONE_FACTOR: f64 = 1.2;
-/// A prompt is read in another zone only to save waiting for this part of its ttft_target: moving its result
-/// costs twice there.
+/// Prefill time that another availability zone must save, as a fraction of the time-to-first-token
+/// target; the result has to be transferred between zones.
 const CROSS_ZONE_PREFILL_SAVING: f64 = 0.06;
-/// Part of a prompt's aim that reading what is ahead of it may take. With more it would be late, and
-/// asked of a second endpoint before the first is done, which makes the queues of both longer still.
+/// Largest backlog at a prefill endpoint, as a fraction of the time-to-first-token target. With
+/// more, the prompt would time out and be sent to a second endpoint, which adds to the load.
 const MAX_PREFILL_BACKLOG: f64 = 0.45;
-/// Part of its aim within which a prompt is read unless its endpoint hangs: twice what is let stand ahead
-/// of it, since others' word of what they sent is on its way.
+/// Time after which a prefill counts as stalled, as a fraction of the time-to-first-token target.
+/// Above [`MAX_PREFILL_BACKLOG`], because reports from other replicas are delayed.
 const STALLED_PREFILL: f64 = 2.0 * MAX_PREFILL_BACKLOG;
-/// Part of an engine's memory that a decode endpoint in the own zone may be fuller and still be
-/// taken.
+/// Bonus for a decode endpoint in the local availability zone, as a fraction of its memory.
 const LOCAL_ZONE_BONUS: f64 = 0.05;
 
-/// Part of an engine's memory that an endpoint which this entry prefers may be fuller and still be taken.
-/// Entries that all took the roomiest would meet there: what each takes is seen by the others a tenth of a
-/// second later, and by then several have filled the same endpoint.
+/// Largest bonus by which replicas prefer different endpoints, as a fraction of the memory. Without
+/// it, replicas that have not yet seen each other's runs would all select the same endpoint.
 const PREFERENCE_BONUS: f64 = 0.2;
 
-/// Part of an engine's memory that stays free for what the others have taken and not told yet.
+/// Fraction of an engine's memory kept free for runs of other replicas that were not reported yet.
 const HEADROOM: f64 = 0.03;
-/// Part of an engine's memory that stays free when a late request is placed. A late answer is worth
-/// a fifth of one on time and takes memory as long: under a burst it would make the next one late.
+/// Fraction of an engine's memory kept free when placing a late request, for requests that can
+/// still meet their target.
 const LATE_HEADROOM: f64 = 0.2;
 
-/// Memory of an engine that placing a request must leave free, tokens.
+/// Returns the memory that must stay free at an endpoint after placing a request, in tokens.
 pub fn headroom(engine: &Engine, is_late: bool) -> u64 {
     let part = if is_late { LATE_HEADROOM } else { HEADROOM };
     (engine.memory as f64 * part) as u64
 }
 
-/// A run that is to be placed.
+/// A run to be placed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Run<'a> {
-    /// Tokens of its prompt.
+    /// Length of the prompt, in tokens.
     pub prompt: u64,
-    /// Memory it is expected to take over time.
+    /// Expected KV cache use over time.
     pub growth: Growth,
-    /// Memory that must stay free beside it, tokens.
+    /// Memory that must stay free beside the run, in tokens.
     pub headroom: u64,
-    /// Longest pause between events that is on time; zero if none is declared.
+    /// Target for the longest pause between events; zero if none is declared.
     pub gap: Duration,
-    /// Time to the first event that is on time.
+    /// Target for the time to the first event.
     pub ttft_target: Duration,
-    /// Endpoints that have failed it.
+    /// Endpoints that failed the run before.
     pub avoid: &'a [Arc<str>],
 }
 
-/// Where a run goes.
+/// Endpoints selected for a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// Where its tokens are made.
+    /// Decode endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// Where its prompt is read; without one, where its tokens are made.
-    pub reader: Option<Arc<Endpoint>>,
+    /// Prefill endpoint; if `None`, the decode endpoint processes the prompt itself.
+    pub prefill: Option<Arc<Endpoint>>,
 }
 
-/// Who reads a prompt.
+/// Result of selecting a prefill endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Prefill {
-    /// This endpoint.
+    /// The prompt goes to this endpoint.
     Endpoint(Arc<Endpoint>),
-    /// Nobody at the moment: too much is ahead everywhere.
+    /// All prefill endpoints have too large a backlog at the moment.
     Busy,
-    /// Nobody: no endpoint that only reads can be reached.
+    /// No prefill endpoint is reachable.
     Unavailable,
 }
 
-/// What placement looks at.
+/// Inputs of a placement decision.
 #[derive(Clone, Copy)]
 pub struct View<'a> {
-    /// The moment of the decision.
+    /// Time of the decision.
     pub now: Time,
-    /// The endpoints.
+    /// Known endpoints.
     pub directory: &'a Directory,
-    /// What is under way at them.
+    /// Their loads.
     pub loads: &'a Loads,
-    /// Endpoints that change their stage take no work.
+    /// Stage changes in progress.
     pub pools: &'a Pools,
-    /// How long things take at them.
+    /// Forecasts of prefill and decode times.
     pub forecasts: &'a Forecasts,
-    /// The availability zone of this entry.
+    /// Availability zone of this replica.
     pub zone: &'a str,
-    /// The name of this entry.
-    pub entry: &'a str,
-    /// Which endpoints are this entry's own to have prompts read.
+    /// Name of this replica.
+    pub replica: &'a str,
+    /// Decode endpoints that this replica may use for prefill.
     pub partition: Partition,
 }
 
-/// An entry's part of what only one entry should do with an endpoint at a time.
+/// This replica's partition of endpoints that only one replica may use at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Partition {
-    /// Entries that go before it.
+    /// Index of this replica, below `count`.
     pub index: u32,
-    /// All entries.
+    /// Number of replicas.
     pub count: u32,
 }
 
 impl Partition {
-    /// Whether the endpoint at an index of a list that all entries share is this entry's own.
+    /// Whether the endpoint at an index of the shared list belongs to this replica.
     fn contains(self, index: usize) -> bool {
         index as u32 % self.count.max(1) == self.index
     }
@@ -130,7 +126,7 @@
         self.loads.get(&endpoint.id)
     }
 
-    /// Endpoints that may be tried.
+    /// Returns the endpoints that may be tried.
     fn reachable(&self, service: &'a str, stage: Stage, avoid: &[Arc<str>]) -> Vec<&'a Arc<Endpoint>> {
         let serving = self.directory.serving(service).filter(|endpoint| endpoint.stage == stage);
         let tried = serving.filter(|endpoint| !avoid.contains(&endpoint.id));
@@ -138,7 +134,7 @@
         stable.filter(|endpoint| !self.is_ejected(endpoint)).collect()
     }
 
-    /// The same without those known to do worse than the rest.
+    /// Returns the reachable endpoints, without those that fail more often than the others.
     fn candidates(&self, service: &'a str, stage: Stage, avoid: &[Arc<str>]) -> Vec<&'a Arc<Endpoint>> {
         let mut reachable = self.reachable(service, stage, avoid);
         let best = reachable.iter().map(|endpoint| self.failure_ratio(endpoint)).fold(1.0, f64::min);
@@ -150,7 +146,7 @@
         self.load(endpoint).is_some_and(|load| load.health.is_shunned(self.now))
     }
 
-    /// Whether an endpoint has kept a prompt for so long that it has probably gone dark.
+    /// Whether a prompt is in flight for so long that the endpoint probably hangs.
     fn is_stalled(&self, endpoint: &Endpoint, ttft_target: Duration) -> bool {
         let longest = ttft_target.mul_f64(STALLED_PREFILL);
         self.load(endpoint).is_some_and(|load| load.health.longest_wait(self.now) > longest)
@@ -160,7 +156,8 @@
         self.load(endpoint).map_or(0.0, |load| load.failure_ratio(self.now))
     }
 
-    /// An endpoint for a whole request: the one that is expected to answer first.
+    /// Selects an endpoint for an unsplit request: the one with the shortest expected response
+    /// time.
     pub fn whole(&self, service: &str, avoid: &[Arc<str>]) -> Option<Arc<Endpoint>> {
         let expected = |endpoint: &Endpoint| {
             let Some(load) = self.load(endpoint) else { return 0 };
@@ -173,7 +170,8 @@
         candidates.min_by_key(|endpoint| (is_full(endpoint), expected(endpoint))).cloned()
     }
 
-    /// How long an endpoint is busy with the prompts that it has, and how long with `prompt` tokens more.
+    /// Returns the time until an endpoint's backlog is processed, without and with `prompt` further
+    /// tokens.
     fn prefill_times(&self, endpoint: &Endpoint, prompt: u64) -> (Duration, Duration) {
         let ahead = self.load(endpoint).map_or(0, |load| load.total(self.now).reading);
         let forecast = self.forecasts.endpoint(self.now, &endpoint.service, &endpoint.id);
@@ -181,8 +179,8 @@
         (busy, forecast.prefill_time(ahead + prompt))
     }
 
-    /// An endpoint that reads a prompt: the one that has read it first, near `zone` where its result
-    /// goes.
+    /// Selects a prefill endpoint: the one that finishes the prompt first, with a preference for
+    /// `zone`, where the result is used.
     pub fn prefill(
         &self,
         service: &str,
@@ -209,39 +207,41 @@
         }
     }
 
-    /// Where a run goes, and who reads its prompt; nothing if it has to wait.
+    /// Selects the endpoints for a run; `None` if it has to stay queued.
     pub fn pair(&self, service: &str, engine: &Engine, run: &Run<'_>) -> Option<Placement> {
         let endpoint = self.decode(service, engine, run)?;
         match self.prefill(service, run.prompt, run.ttft_target, &endpoint.zone, &[]) {
-            Prefill::Endpoint(reader) => Some(Placement { endpoint, reader: Some(reader) }),
-            Prefill::Unavailable => Some(Placement { endpoint, reader: None }),
+            Prefill::Endpoint(prefill) => Some(Placement { endpoint, prefill: Some(prefill) }),
+            Prefill::Unavailable => Some(Placement { endpoint, prefill: None }),
             Prefill::Busy => {
                 let endpoint = self.decode_with_prefill(service, engine, run)?;
-                Some(Placement { endpoint, reader: None })
+                Some(Placement { endpoint, prefill: None })
             }
         }
     }
 
-    /// An endpoint with room for a run: the one with the most room.
+    /// Selects the decode endpoint with the most free memory.
     pub fn decode(&self, service: &str, engine: &Engine, run: &Run<'_>) -> Option<Arc<Endpoint>> {
-        // Where the healthy ones are full, three runs in five at a failing one are better than none.
+        // Falls back to failing endpoints when the healthy ones are full: most of their runs still
+        // succeed.
         let healthy = self.most_free(self.candidates(service, Stage::Decode, run.avoid), engine, run);
         healthy.or_else(|| self.most_free(self.reachable(service, Stage::Decode, run.avoid), engine, run))
     }
 
-    /// A decode endpoint that reads a prompt itself while all readers are busy. In a burst the readers
-    /// bind before memory does, and runs wait for them beside empty places.
+    /// Selects a decode endpoint that processes the prompt itself while all prefill endpoints are
+    /// busy.
     ///
-    /// Reading holds up the endpoint's other runs: it reads one prompt at a time, with a rest behind it,
-    /// and none that would make its runs pause longer than is on time. Two entries that did not know of
-    /// each other's prompts would make them pause twice as long, so each has endpoints of its own.
+    /// Prefill stalls the endpoint's other runs, so an endpoint takes one prompt at a time, with a
+    /// pause afterwards, and none that would stall runs beyond the target for pauses. Each replica
+    /// uses its own partition of endpoints, since two replicas unaware of each other's prompts
+    /// would double the stall.
     fn decode_with_prefill(&self, service: &str, engine: &Engine, run: &Run<'_>) -> Option<Arc<Endpoint>> {
         let forecast = self.forecasts.service(service);
         let pause = forecast.local_prefill_time(run.prompt) + forecast.typical_event_interval();
         if !run.gap.is_zero() && pause > run.gap {
             return None;
         }
-        // Counted over all endpoints listed: what each entry leaves out differs, and would shift them.
+        // Indexes cover all listed endpoints: replicas may disagree on which ones are candidates.
         let listed = self.directory.serving(service).filter(|endpoint| endpoint.stage == Stage::Decode);
         let own = listed.enumerate().filter(|(index, _)| self.partition.contains(*index));
         let own: Vec<&Arc<str>> = own.map(|(_, endpoint)| &endpoint.id).collect();
@@ -266,8 +266,8 @@
         fitting.max_by_key(|(free, _)| *free).map(|(_, endpoint)| endpoint.clone())
     }
 
-    /// Memory left at an endpoint, at the time when most is taken, once a run has been placed there;
-    /// corrected for its zone.
+    /// Returns the free memory at peak use after placing a run, plus the bonuses for the endpoint;
+    /// `None` if the run does not fit.
     fn free_memory(&self, endpoint: &Endpoint, engine: &Engine, run: &Run<'_>) -> Option<u64> {
         let load = self.load(endpoint);
         if load.is_some_and(|load| load.is_full(self.now)) {
@@ -278,7 +278,7 @@
             return None;
         }
         let peak = (taken.growth + run.growth).peak();
-        // One that is larger than what may be taken at all runs alone, as far as its answer fits.
+        // A run too large to leave the headroom free may still run alone.
         let is_alone = taken.running == 0 && u64::from(run.growth.0[0]) <= engine.memory;
         let left = if is_alone {
             engine.memory.saturating_sub(peak)
@@ -290,17 +290,17 @@
         Some(left + (engine.memory as f64 * bonus) as u64)
     }
 
-    /// How much this entry prefers an endpoint, 0 to 1: the same at any time, and another order at each
-    /// entry.
+    /// Returns this replica's preference for an endpoint, from 0 to 1: a hash that is stable over
+    /// time and differs between replicas.
     fn preference(&self, endpoint: &Endpoint) -> f64 {
         let mut hash = Xxh3::new();
-        hash.update(self.entry.as_bytes());
+        hash.update(self.replica.as_bytes());
         hash.update(&[0]);
         hash.update(endpoint.id.as_bytes());
         hash.digest() as f64 / u64::MAX as f64
     }
 
-    /// What a service's endpoints of a stage have room for, in one line for logs.
+    /// Summarizes the endpoints of a stage, for logs and refusals.
     pub fn describe(&self, service: &str, stage: Stage) -> String {
         let serving = self.directory.serving(service).filter(|endpoint| endpoint.stage == stage);
         let (mut all, mut shunned, mut full, mut running, mut memory) = (0, 0, 0, 0, 0);
@@ -321,7 +321,7 @@
         &*endpoint.zone == zone
     }
 
-    /// Whether a service has any endpoint of a stage that takes work.
+    /// Whether a service has any endpoint of a stage that accepts work.
     pub fn has_stage(&self, service: &str, stage: Stage) -> bool {
         self.directory.serving(service).any(|endpoint| endpoint.stage == stage)
     }
--- a/crates/core/src/gateway/pools.rs
+++ b/crates/core/src/gateway/pools.rs
@@ -1,10 +1,9 @@
-//! How many endpoints of a service read prompts, and how many make tokens.
+//! Split of a service's endpoints into a prefill and a decode pool.
 //!
-//! Reading keeps a processor busy, making tokens keeps memory taken, and callers' prompts and
-//! answers decide how much of each there is to do. The split that fits them is worked out from the
-//! requests seen, and endpoints are ordered from one pool to the other, one at a time. The load
-//! itself does not matter, only the ratio: a burst changes nothing, and a switch takes longer than
-//! a burst lasts.
+//! Prefill is bound by compute, decode by memory, and the sizes of prompts and outputs decide how
+//! much of each is needed. The split is computed from recent requests, and endpoints are ordered to
+//! change their pool one at a time. Only the ratio of prefill to decode work matters, not the total
+//! load, so a burst does not trigger a change.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -17,50 +16,48 @@
 };
 use crate::clock::{Time, fading};
 
-/// Requests that must have been seen before their mean says something: the sizes of prompts and
-/// answers vary by half to double, so the mean of these is right to a sixth.
+/// Number of recent requests needed to compute a split.
 const MIN_REQUESTS: f64 = 15.0;
-/// Answers that must have been seen before it is known how long they take: estimates are off by half to
-/// double, so the middle of these is right to a fifth.
+/// Weight of observed outputs needed to compute a split.
 const MIN_ANSWER_WEIGHT: f64 = 8.0;
-/// What was seen counts half after this long: longer than a burst, shorter than a shift of the
-/// traffic that is worth a switch.
+/// Half-life of recorded requests: longer than a burst, shorter than a lasting shift of the
+/// traffic.
 const HALF_LIFE: Duration = Duration::from_secs(15);
-/// Reading gets this much more than its part: prompts wait for each other while they are read, and
-/// with a part just enough they would wait for ever; with little more, callers that come back together
-/// after a loss of power wait for the few readers for seconds.
+/// Factor on the computed prefill demand. Prompts queue behind each other, so a pool without spare
+/// capacity builds up a backlog.
 const PREFILL_HEADROOM: f64 = 1.45;
-/// Endpoints by which a pool must be off for one to be moved: half would be the nearest fit, and the
-/// rest keeps the noise of the mean from moving the same one to and fro.
+/// Number of endpoints by which the split must be off before one is moved. Above one half, so that
+/// noise does not move the same endpoint back and forth.
 const MIN_IMBALANCE: f64 = 0.8;
-/// An answer long enough for the time of one token.
+/// Output length for which the time per token is computed.
 const REFERENCE_TOKENS: u64 = 1_000;
-/// Part of an engine's memory that runs can take: the rest is lost at the edges.
+/// Fraction of an engine's memory that runs can use; the rest is lost to fragmentation.
 const USABLE_MEMORY: f64 = 0.9;
-/// A change that is not seen to end is forgotten after this long: the longest run, the switch, and an
-/// order that is carried out late.
+/// When an unconfirmed change is dropped: covers the longest run, the change itself and a delayed
+/// order.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(25);
-/// Time between two orders, so that the first shows in the list before the next is decided.
+/// Shortest time between two orders, so that the first shows in the directory before the next is
+/// decided.
 const MIN_ORDER_INTERVAL: Duration = Duration::from_millis(1_000);
-/// How long a pool must be off for one to be moved. While a burst begins or endpoints go dark, what was
-/// seen swings for a moment, and a switch made for it is undone by the next.
+/// How long an imbalance must last before an endpoint moves to decode. Ignores short-lived swings,
+/// such as at the start of a burst or when endpoints fail.
 const TO_DECODE_DELAY: Duration = Duration::from_secs(2);
-/// The same for one to be taken from those that make tokens: it turns away runs whose prompts have been read,
-/// and readers that went dark in a burst are back by the time it would read.
+/// The same for a move to prefill. Longer, because a decode endpoint that changes rejects runs
+/// whose prompts were already processed.
 const TO_PREFILL_DELAY: Duration = Duration::from_secs(4);
-/// Most changes under way at once in one service.
+/// Largest number of changes in progress.
 const MAX_CHANGES: usize = 2;
 
-/// What the requests of one service asked for, fading with time. Kept as sizes: how long they take is
-/// asked when it is decided, so that what is learned later counts for what was seen before.
+/// Exponentially decaying demand of one service. Stored as sizes and converted to times when used,
+/// so that newer forecasts apply to older requests too.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
     requests: f64,
-    /// Tokens of prompts.
+    /// Prompt tokens.
     prompt: f64,
-    /// Parts of an endpoint that makes tokens with full memory, or with all places taken.
+    /// Fraction of a decode endpoint that each request occupies, by memory or by slots, summed.
     endpoints: f64,
-    /// The same, each times the tokens of its answer.
+    /// The same, weighted by the expected output tokens.
     endpoint_tokens: f64,
     at: Time,
 }
@@ -75,7 +72,7 @@
         self.at = now;
     }
 
-    /// Part of the endpoints that should read prompts; nothing while it is not known how long things take.
+    /// Returns the fraction of endpoints needed for prefill, or `None` while forecasts lack data.
     fn prefill_fraction(&self, engine: &Engine, forecast: &Forecast) -> Option<f64> {
         forecast
             .output_length
@@ -90,41 +87,41 @@
     }
 }
 
-/// An endpoint that is to change its pool.
+/// Order for an endpoint to change its stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The endpoint.
+    /// The endpoint to change.
     pub endpoint: Arc<Endpoint>,
-    /// Its new stage.
+    /// The new stage.
     pub stage: Stage,
 }
 
-/// A service as it is known when its split is decided.
+/// Inputs about a service for computing its split.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceInfo<'a> {
-    /// Its name.
+    /// Name of the service.
     pub name: &'a Arc<str>,
-    /// The size of its engines.
+    /// Size of its engines.
     pub engine: &'a Engine,
-    /// How long things take there.
+    /// Forecast of its prefill and decode times.
     pub forecast: &'a Forecast,
 }
 
-/// The split of each service, and the changes under way.
+/// Demand of all services, and the stage changes in progress.
 #[derive(Clone, Debug, Default)]
 pub struct Pools {
     demand: BTreeMap<Arc<str>, Demand>,
-    /// Until when an endpoint is left alone while it changes, and what it changes to.
+    /// Changes ordered by this replica, with their timeout and the new stage.
     changing: BTreeMap<Arc<str>, (Time, Stage)>,
-    /// The same as others told it.
+    /// Changes ordered by other replicas, likewise.
     peer_changing: BTreeMap<Arc<str>, (Time, Stage)>,
     last_order: Option<Time>,
-    /// Since when a service has too many readers, or too few.
+    /// Since when a service has too many endpoints of a stage, and which stage.
     imbalanced: BTreeMap<Arc<str>, (Time, Stage)>,
 }
 
 impl Pools {
-    /// Counts a request.
+    /// Records a request.
     pub fn record_request(&mut self, now: Time, service: &Arc<str>, engine: &Engine, size: Size) {
         let Size { prompt, expected_output, .. } = size;
         let demand = self.demand.entry(service.clone()).or_default();
@@ -137,8 +134,8 @@
         demand.endpoint_tokens += endpoints * expected_output as f64;
     }
 
-    /// How many of `count` endpoints should read prompts, as a fraction too; nothing while too little
-    /// was seen.
+    /// Returns how many of `count` endpoints prefill needs, as a fractional number. `None` without
+    /// enough data.
     pub fn prefill_target(&mut self, now: Time, service: &ServiceInfo<'_>, count: usize) -> Option<f64> {
         let ServiceInfo { name, engine, forecast } = service;
         let demand = self.demand.get_mut(*name)?;
@@ -150,13 +147,13 @@
         Some((count as f64 * fraction).clamp(1.0, count as f64 - 1.0))
     }
 
-    /// Whether an endpoint is in the middle of a change and takes no work.
+    /// Whether an endpoint is changing its stage and must get no work.
     pub fn is_changing(&self, now: Time, endpoint: &str) -> bool {
         self.changing.get(endpoint).is_some_and(|(until, _)| *until > now)
             || self.peer_changing.get(endpoint).is_some_and(|(until, _)| *until > now)
     }
 
-    /// The changes that this entry has ordered.
+    /// Returns the changes that this replica has ordered, to report to the others.
     pub fn changes(&self, now: Time) -> BTreeMap<Arc<str>, Change> {
         let pending = self.changing.iter().filter(|(_, (until, _))| *until > now);
         let changes = pending.map(|(endpoint, (until, stage))| {
@@ -165,13 +162,13 @@
         changes.collect()
     }
 
-    /// Takes a change that another entry has ordered.
+    /// Records a change that another replica has ordered.
     pub fn merge_change(&mut self, now: Time, endpoint: &Arc<str>, change: Change) {
         let until = now.plus(change.left.min(CHANGE_TIMEOUT));
         self.peer_changing.insert(endpoint.clone(), (until, change.stage));
     }
 
-    /// An endpoint shows its stage in the list: a change to it is over.
+    /// Completes a change once the directory lists the endpoint with its new stage.
     pub fn confirm(&mut self, endpoint: &Endpoint) {
         if self.changing.get(&endpoint.id).is_some_and(|(_, stage)| *stage == endpoint.stage) {
             self.changing.remove(&endpoint.id);
@@ -181,14 +178,14 @@
         }
     }
 
-    /// An order was refused or cannot be given: the endpoint stays as it is.
+    /// Drops a change whose order was rejected or could not be sent.
     pub fn cancel(&mut self, endpoint: &str) {
         self.changing.remove(endpoint);
     }
 
-    /// The next change that the split of a service calls for. `rank` counts the entries that go
-    /// before this one: only the first decides. Each sees other requests, and if any of them might
-    /// order, the one that is furthest off would.
+    /// Returns the next change that the split of a service requires. `rank` is the number of
+    /// replicas with precedence over this one. Only the first replica decides: each sees other
+    /// requests, so otherwise the one with the least accurate estimate would act.
     pub fn next_order(
         &mut self,
         now: Time,
@@ -232,14 +229,14 @@
         Some(Order { endpoint, stage: to })
     }
 
-    /// The stage that an endpoint has, or will have.
+    /// Returns the stage of an endpoint after any change in progress.
     fn target_stage(&self, endpoint: &Endpoint) -> Stage {
         let change = self.changing.get(&endpoint.id).or_else(|| self.peer_changing.get(&endpoint.id));
         change.map_or(endpoint.stage, |(_, stage)| *stage)
     }
 }
 
-/// What an endpoint has to finish before it can change.
+/// Returns the tokens that an endpoint must finish before it can change.
 fn pending_work(now: Time, loads: &Loads, endpoint: &Endpoint) -> u64 {
     loads.get(&endpoint.id).map_or(0, |load| {
         let all = load.total(now);
--- a/crates/core/src/gateway/queue.rs
+++ b/crates/core/src/gateway/queue.rs
@@ -1,43 +1,42 @@
-//! Requests that wait for memory at a decode endpoint.
+//! Queue of requests waiting for memory at a decode endpoint.
 //!
-//! Under a burst the memory of all decode endpoints is taken. Whoever can still be on time goes
-//! first, by the time that is left; those that cannot any more go when nobody else waits. Serving
-//! strictly by arrival would instead make everybody late once the line is longer than the time to the
-//! first event, and long prompts, which are read for longer, sooner than short ones. Nobody is passed
-//! over for being large.
+//! Orders queued requests by deadline. Requests that can still meet their time-to-first-token
+//! target come before those that cannot; serving by arrival would make every request late once the
+//! queue is longer than the target. A request that does not fit blocks later ones of its service,
+//! so that large requests don't starve.
 
 use std::{sync::Arc, time::Duration};
 
 use super::forecast::Size;
 use crate::clock::Time;
 
-/// A request in the line.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub struct Entry<T> {
-    /// Whom to answer.
+    /// Handle by which the caller is answered.
     pub tag: T,
-    /// The service.
+    /// Service that the request is for.
     pub service: Arc<str>,
-    /// What it asks for.
+    /// Prompt and output size.
     pub size: Size,
-    /// Memory that it takes on average, tokens.
+    /// Mean KV cache use, in tokens.
     pub memory: u64,
-    /// A start later than this is late.
+    /// Latest start that still meets the time-to-first-token target.
     pub soft_deadline: Time,
-    /// A start later than this cannot end before the caller has left.
+    /// Latest start at which the request can finish before its caller disconnects.
     pub hard_deadline: Time,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Longest pause between its events that is on time; zero if none is declared.
+    /// Target for the longest pause between events; zero if none is declared.
     pub gap: Duration,
-    /// Time to its first event that is on time.
+    /// Target for the time to the first event.
     pub ttft_target: Duration,
-    /// Endpoints that have failed it.
+    /// Endpoints that failed the request before.
     pub avoid: Vec<Arc<str>>,
 }
 
 impl<T> Entry<T> {
-    /// Whether its first event cannot be on time any more.
+    /// Whether the request can no longer meet its time-to-first-token target.
     pub fn is_late(&self, now: Time) -> bool {
         self.soft_deadline < now
     }
@@ -47,16 +46,16 @@
     }
 }
 
-/// What becomes of a request in the line.
+/// Result of dispatching a request.
 #[derive(Clone, Debug)]
 pub enum Verdict<P> {
-    /// It runs there.
+    /// The request was placed.
     Placed(P),
-    /// It cannot end in time any more.
+    /// The request can no longer finish in time.
     Expired,
 }
 
-/// The line.
+/// Queue of the requests of all services.
 #[derive(Clone, Debug)]
 pub struct Queue<T>(Vec<Entry<T>>);
 
@@ -72,23 +71,24 @@
         self.0.push(entry);
     }
 
-    /// How many wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Drops those whose callers are gone.
+    /// Removes the requests for whose tags `keep` returns false, such as those of disconnected
+    /// callers.
     pub fn retain(&mut self, keep: impl Fn(&T) -> bool) {
         self.0.retain(|entry| keep(&entry.tag));
     }
 
-    /// Places whom `place` finds room for, in order, up to the first of each service that finds
-    /// none, and gives up those that wait in vain.
+    /// Removes expired requests and those that `place` finds an endpoint for, in order. After the
+    /// first request of a service that does not fit, the rest of that service stay queued.
     pub fn dispatch<P>(
         &mut self,
         now: Time,
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -410,11 +410,11 @@
             ttft_target: *ttft_target,
             avoid,
         };
-        let Placement { endpoint, reader } = self.view(now).pair(service, &engine, &run)?;
-        let reading = if reader.is_some() { 0 } else { size.prompt };
+        let Placement { endpoint, prefill } = self.view(now).pair(service, &engine, &run)?;
+        let reading = if prefill.is_some() { 0 } else { size.prompt };
         let share = Share { running: 1, memory: *memory, reading, ..Share::default() };
         let run = self.take(now, endpoint, share, Some(Estimate { size: *size, spread }));
-        let reader = reader.map(|reader| self.take_reader(now, reader, size.prompt, *ttft_target));
+        let reader = prefill.map(|prefill| self.take_reader(now, prefill, size.prompt, *ttft_target));
         Some(Pair { run, reader })
     }
 
@@ -526,7 +526,7 @@
             pools: &self.pools,
             forecasts: &self.forecasts,
             zone: &self.identity.zone,
-            entry: &self.identity.name,
+            replica: &self.identity.name,
             partition: self.partition(),
         }
     }
