--- a/crates/core/tests/gateway/budget.rs
+++ b/crates/core/tests/gateway/budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget.
+//! Retry budget.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,22 +8,21 @@
 
 const RULE: Rule = Rule { ratio: 0.2, slack: 40.0, window: Duration::from_secs(10) };
 
-/// Every answer of a service is lost for some seconds. Each entry sends every request once more,
-/// and the service, already in trouble, gets twice its load.
+/// When a service loses all its responses, retries must not double its load.
 #[test]
-fn further_sends_stay_within_ratio_and_slack_over_all_entries() {
+fn retries_of_all_replicas_stay_within_ratio_and_slack() {
     let service: Arc<str> = "filing".into();
-    let mut entries = vec![Budget::new(RULE, at(0)); 4];
-    let (mut requests, mut extras) = (0.0, 0.0);
+    let mut replicas = vec![Budget::new(RULE, at(0)); 4];
+    let (mut requests, mut retries) = (0.0, 0.0);
     for now in (10_000..19_000).step_by(50) {
-        for entry in &mut entries {
-            entry.record_request(at(now), &service);
+        for replica in &mut replicas {
+            replica.record_request(at(now), &service);
             requests += 1.0;
-            extras += if entry.try_spend(at(now), &service, 4) { 1.0 } else { 0.0 };
+            retries += if replica.try_spend(at(now), &service, 4) { 1.0 } else { 0.0 };
         }
     }
-    assert!(extras <= RULE.ratio * requests + RULE.slack, "{extras} of {requests}");
-    assert!(extras > 0.5 * (RULE.ratio * requests + RULE.slack), "{extras} of {requests}: hardly used");
+    assert!(retries <= RULE.ratio * requests + RULE.slack, "{retries} of {requests}");
+    assert!(retries > 0.5 * (RULE.ratio * requests + RULE.slack), "{retries} of {requests}: hardly used");
 }
 
 #[test]
@@ -36,17 +35,17 @@
     assert!(budget.try_spend(at(30_100), &service, 1));
 }
 
-/// All entries are killed at once while answers are lost, and start again: each knows nobody, took
-/// the whole slack for itself, and the process before it had used its part a moment ago.
+/// Replicas that restart together don't know each other yet, and their previous processes may have
+/// used up the slack.
 #[test]
-fn entries_that_have_just_started_share_the_slack_too() {
+fn replicas_that_have_just_started_share_the_slack() {
     let service: Arc<str> = "filing".into();
-    let mut extras = 0;
+    let mut retries = 0;
     for _ in 0..4 {
         let mut old = Budget::new(RULE, at(0));
-        extras += (0..50).filter(|_| old.try_spend(at(20_000), &service, 4)).count();
+        retries += (0..50).filter(|_| old.try_spend(at(20_000), &service, 4)).count();
         let mut new = Budget::new(RULE, at(21_000));
-        extras += (0..50).filter(|_| new.try_spend(at(21_000), &service, 1)).count();
+        retries += (0..50).filter(|_| new.try_spend(at(21_000), &service, 1)).count();
     }
-    assert!(extras as f64 <= RULE.slack, "{extras}");
+    assert!(retries as f64 <= RULE.slack, "{retries}");
 }
--- a/crates/core/tests/gateway/forecast.rs
+++ b/crates/core/tests/gateway/forecast.rs
@@ -1,4 +1,4 @@
-//! How long requests take.
+//! Forecasts of request times.
 
 use std::time::Duration;
 
@@ -6,58 +6,56 @@
 
 use crate::{SMALL, Sheet, at, learned, teach};
 
-/// Time to a first event that is on time.
+/// Target for the time to the first event.
 const TARGET: Duration = Duration::from_millis(900);
 
 fn small() -> Forecast {
     learned(SMALL).service("drafting")
 }
 
-fn summary(expected_output: u64) -> Size {
+fn request(expected_output: u64) -> Size {
     Size { prompt: 5_000, expected_output, max_output: 1_870 }
 }
 
-/// An entry is told to stop, and 5.4 s later a caller still reaches it, since hardly any other entry
-/// is in rotation. The caller estimates 180 tokens and gets 420: the stream is cut in its middle
-/// when the process ends 2.25 s later, and may not run again.
+/// A stream that outlasts the process would be cut and cannot be resumed.
 #[test]
-fn a_stream_that_may_outlast_a_process_that_stops_is_sent_elsewhere() {
+fn a_stream_that_may_outlast_the_process_is_refused_during_shutdown() {
     let left = Duration::from_millis(2_250);
-    assert!(!small().finishes_within(left, summary(180), false));
-    assert!(small().finishes_within(left, summary(90), false));
+    assert!(!small().finishes_within(left, request(180), false));
+    assert!(small().finishes_within(left, request(90), false));
 }
 
-/// A rolling restart stops one entry after the other. Were each to refuse every stream that could
-/// last until its end, callers would be refused by one and then by the next.
+/// In a rolling restart, overly strict refusals would turn a caller away at one replica after
+/// another.
 #[test]
-fn a_stream_that_comes_right_after_the_word_to_stop_is_served() {
+fn a_stream_right_after_the_start_of_shutdown_is_accepted() {
     let left = Duration::from_millis(7_700);
-    assert!(small().finishes_within(left, summary(700), true));
-    assert!(!small().finishes_within(left, summary(1_500), true));
+    assert!(small().finishes_within(left, request(700), true));
+    assert!(!small().finishes_within(left, request(1_500), true));
 }
 
 #[test]
-fn no_answer_is_longer_than_the_longest_asked_for() {
+fn the_output_is_limited_to_the_requested_maximum() {
     let size = Size { prompt: 5_000, expected_output: 300, max_output: 300 };
     assert!(small().finishes_within(Duration::from_millis(2_250), size, false));
 }
 
-/// A reader is dark, and a summary waits there for 1.4 s before another is asked: late whatever comes.
-/// Behind a long backlog the same wait is in order, and a second reading would be in vain.
+/// An unresponsive prefill endpoint must be given up early enough for a second one to meet the
+/// target, but a long backlog alone must not cause a second prefill.
 #[test]
-fn a_prompt_is_asked_elsewhere_in_time_unless_others_are_ahead() {
+fn the_prefill_timeout_grows_with_the_backlog() {
     assert!(small().prefill_timeout(5_000, TARGET) <= Duration::from_millis(600));
     assert!(small().prefill_timeout(27_000, TARGET) >= Duration::from_millis(1_300));
 }
 
-/// Whether a time is within a tenth of what it should be.
+/// Whether a time is within a tenth of the expected one.
 fn is_near(time: Duration, millis: u64) -> bool {
     let ratio = time.as_secs_f64() * 1e3 / millis as f64;
     (0.9..1.1).contains(&ratio)
 }
 
 #[test]
-fn times_are_those_of_the_engine_in_use() {
+fn forecasts_match_the_observed_engine() {
     for sheet in [
         SMALL,
         Sheet { prompt_us: 2, first_ms: 15, token_us: 500, event_tokens: 1 },
@@ -72,67 +70,64 @@
     }
 }
 
-/// Engines slow down to a tenth in the middle of their runs. Were forecasts to change only with runs that
-/// end, placed requests would be cut at their deadlines for as long as a run takes.
+/// Forecasts must not wait for runs to complete, or runs placed meanwhile would miss their
+/// deadlines.
 #[test]
-fn a_change_of_speed_in_the_middle_of_runs_is_followed() {
+fn a_slowdown_during_runs_changes_the_forecast() {
     let mut forecasts = learned(SMALL);
     let slow = Duration::from_micros(10 * SMALL.token_us * SMALL.event_tokens);
     for _ in 0..20 {
-        let paced = Observation::Events { events: 2, span: slow * 2 };
-        forecasts.record(at(1_000), &"drafting".into(), &"e-1".into(), 20_000, paced);
+        let events = Observation::Events { events: 2, span: slow * 2 };
+        forecasts.record(at(1_000), &"drafting".into(), &"e-1".into(), 20_000, events);
     }
     forecasts.recompute();
     let time = forecasts.service("drafting").decode_time(1_000);
     assert!(time > Duration::from_millis(40 * SMALL.token_us / 5), "{time:?}");
 }
 
-/// Readers become ten times slower, so that every prompt is given up before it has been read. If only prompts
-/// that were read told how long reading takes, all would be given up for ever.
+/// If only completed prefills counted, a slowdown beyond the timeout would never be learned and
+/// every prompt would time out.
 #[test]
-fn prompts_that_are_given_up_tell_that_reading_is_slow() {
+fn prefill_timeouts_raise_the_prefill_forecast() {
     let mut forecasts = learned(SMALL);
-    let real = Duration::from_micros(10 * SMALL.prompt_us * 5_000);
-    let mut given_up = 0;
-    while forecasts.service("drafting").prefill_timeout(5_000, TARGET) < real {
+    let actual = Duration::from_micros(10 * SMALL.prompt_us * 5_000);
+    let mut timeouts = 0;
+    while forecasts.service("drafting").prefill_timeout(5_000, TARGET) < actual {
         let waited = forecasts.service("drafting").prefill_timeout(5_000, TARGET);
-        let unread = Observation::PrefillTimeout { tokens: 5_000, waited };
-        forecasts.record(at(1_000), &"drafting".into(), &"e-1".into(), 0, unread);
+        let timeout = Observation::PrefillTimeout { tokens: 5_000, waited };
+        forecasts.record(at(1_000), &"drafting".into(), &"e-1".into(), 0, timeout);
         forecasts.recompute();
-        given_up += 1;
-        assert!(given_up < 20, "{waited:?}");
+        timeouts += 1;
+        assert!(timeouts < 20, "{waited:?}");
     }
 }
 
-/// One endpoint of three is sick and takes twenty times as long. It is passed over; the forecasts of all
-/// requests must not follow it.
+/// One slow endpoint must not change the forecast of its service.
 #[test]
-fn a_sick_endpoint_does_not_change_what_is_typical() {
+fn a_slow_endpoint_does_not_change_the_service_forecast() {
     let mut forecasts = Forecasts::default();
-    for (endpoint, slower) in [("e-1", 1), ("e-2", 20), ("e-3", 1)] {
-        let sheet = Sheet { prompt_us: SMALL.prompt_us * slower, token_us: SMALL.token_us * slower, ..SMALL };
+    for (endpoint, factor) in [("e-1", 1), ("e-2", 20), ("e-3", 1)] {
+        let sheet = Sheet { prompt_us: SMALL.prompt_us * factor, token_us: SMALL.token_us * factor, ..SMALL };
         teach(&mut forecasts, at(0), endpoint, sheet);
     }
     let typical = forecasts.service("drafting");
     assert!(is_near(typical.decode_time(1_000), SMALL.token_us));
     assert!(is_near(typical.prefill_time(5_000), SMALL.prompt_us * 5));
-    let sick = forecasts.endpoint(at(100), "drafting", "e-2");
-    assert!(is_near(sick.prefill_time(5_000), SMALL.prompt_us * 100));
-    // Once nothing has been seen of it for long, it is tried like any other.
+    let slow_endpoint = forecasts.endpoint(at(100), "drafting", "e-2");
+    assert!(is_near(slow_endpoint.prefill_time(5_000), SMALL.prompt_us * 100));
+    // After its observations have expired, the endpoint is treated like any other.
     let later = forecasts.endpoint(at(20_000), "drafting", "e-2");
     assert!(is_near(later.prefill_time(5_000), SMALL.prompt_us * 5));
 }
 
-/// One request was held up on its way for seconds, among many that were not.
 #[test]
-fn one_request_that_was_held_up_changes_little() {
+fn a_single_delayed_request_hardly_changes_the_forecast() {
     let mut forecasts = learned(SMALL);
     let (service, endpoint) = ("drafting".into(), "e-1".into());
-    let held_up = Duration::from_secs(9);
-    for observation in [
-        Observation::Prefill { tokens: 5_000, took: held_up },
-        Observation::Events { events: 1, span: held_up },
-    ] {
+    let delay = Duration::from_secs(9);
+    for observation in
+        [Observation::Prefill { tokens: 5_000, took: delay }, Observation::Events { events: 1, span: delay }]
+    {
         forecasts.record(at(10), &service, &endpoint, 20_000, observation);
     }
     forecasts.recompute();
@@ -141,9 +136,9 @@
     assert!(forecast.decode_time(1_000) < Duration::from_millis(SMALL.token_us * 3 / 2));
 }
 
-/// Clocks and engines that show times or counts of zero must not make anything free or endless.
+/// Zero or implausible times and counts must not lead to zero or unbounded forecasts.
 #[test]
-fn observations_that_make_no_sense_leave_the_start_values_in_force() {
+fn implausible_observations_are_ignored() {
     let mut forecasts = Forecasts::default();
     for _ in 0..10 {
         for observation in [
--- a/crates/core/tests/gateway/main.rs
+++ b/crates/core/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! Decisions of the gateway, without a network.
+//! Tests of the gateway's decisions, without a network.
 
 mod allowance;
 mod budget;
@@ -26,7 +26,7 @@
     },
 };
 
-/// A moment some milliseconds after the clock's origin.
+/// Returns a time in milliseconds after the clock's origin.
 fn at(millis: u64) -> Time {
     Time::ZERO.plus(Duration::from_millis(millis))
 }
@@ -78,24 +78,22 @@
     }
 }
 
-/// How fast an engine is.
+/// Speed of a simulated engine.
 #[derive(Clone, Copy, Debug)]
 struct Sheet {
-    /// Microseconds to read a token of a prompt.
+    /// Prefill time per token, in microseconds.
     prompt_us: u64,
-    /// Milliseconds to the first event.
+    /// Time to the first event, in milliseconds.
     first_ms: u64,
-    /// Microseconds to make a token.
+    /// Decode time per token, in microseconds.
     token_us: u64,
-    /// Tokens in an event.
     event_tokens: u64,
 }
 
-/// An engine whose answers of some hundred tokens take seconds.
 const SMALL: Sheet = Sheet { prompt_us: 18, first_ms: 150, token_us: 5_000, event_tokens: 11 };
 
-/// Has `forecasts` see what some requests at an endpoint of such an engine show; estimates are off by e to
-/// the half, up and down.
+/// Records the observations of some requests at an endpoint with such an engine. Callers' estimates
+/// are alternately too high and too low.
 fn teach(forecasts: &mut Forecasts, now: Time, endpoint: &str, sheet: Sheet) {
     let (service, endpoint): (Arc<str>, Arc<str>) = ("drafting".into(), endpoint.into());
     for round in 0..20_u64 {
@@ -118,7 +116,7 @@
     }
 }
 
-/// What is known of a service after some requests to one engine.
+/// Returns forecasts learned from requests to one endpoint.
 fn learned(sheet: Sheet) -> Forecasts {
     let mut forecasts = Forecasts::default();
     teach(&mut forecasts, at(0), "e-1", sheet);
--- a/crates/core/tests/gateway/placement.rs
+++ b/crates/core/tests/gateway/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go.
+//! Selection of endpoints for requests.
 
 use std::{
     collections::BTreeMap,
@@ -19,7 +19,7 @@
 
 use crate::{SMALL, at, endpoint, engine, learned, row};
 
-/// Time to a first event that is on time.
+/// Target for the time to the first event.
 const TARGET: Duration = Duration::from_millis(900);
 
 fn directory(endpoints: Vec<Endpoint>) -> Directory {
@@ -40,133 +40,132 @@
         pools: &POOLS,
         forecasts: &FORECASTS,
         zone: "zone-a",
-        entry: "own",
+        replica: "own",
         partition,
     }
 }
 
-fn reader(found: Prefill) -> Option<Arc<str>> {
+fn id_of(found: Prefill) -> Option<Arc<str>> {
     match found {
         Prefill::Endpoint(endpoint) => Some(endpoint.id.clone()),
         Prefill::Busy | Prefill::Unavailable => None,
     }
 }
 
-fn need(memory: u64, headroom: u64) -> Run<'static> {
+fn run_of(memory: u64, headroom: u64) -> Run<'static> {
     Run { prompt: memory, growth: Growth::flat(memory), headroom, ttft_target: TARGET, ..Run::default() }
 }
 
-fn run(memory: u64) -> Share {
+fn share_of(memory: u64) -> Share {
     Share { running: 1, memory, reading: 0, growth: Growth::flat(memory) }
 }
 
 #[test]
-fn a_run_goes_where_most_memory_is_left_over_all_entries() {
+fn a_run_goes_to_the_endpoint_with_the_most_free_memory() {
     let directory = directory(vec![endpoint("d-1", Stage::Decode), endpoint("d-2", Stage::Decode)]);
     let mut loads = Loads::default();
-    loads.acquire(at(0), &"d-1".into(), run(10_000));
+    loads.acquire(at(0), &"d-1".into(), share_of(10_000));
     let place = |loads: &Loads, memory| {
         view(&directory, loads, 100)
-            .decode("drafting", &engine(), &need(memory, 0))
+            .decode("drafting", &engine(), &run_of(memory, 0))
             .map(|found| found.id.clone())
     };
     assert_eq!(place(&loads, 5_000), Some("d-2".into()));
-    let shares = [("d-2".into(), run(30_000))].into();
+    let shares = [("d-2".into(), share_of(30_000))].into();
     loads.merge_digest(at(50), &Digest { name: "other".into(), shares, ..Digest::default() });
     assert_eq!(place(&loads, 5_000), Some("d-1".into()));
     assert_eq!(place(&loads, 50_001), None);
 }
 
 #[test]
-fn a_late_request_leaves_room_for_those_on_time() {
+fn a_late_request_leaves_headroom_for_requests_on_time() {
     let directory = directory(vec![endpoint("d-1", Stage::Decode)]);
     let mut loads = Loads::default();
-    loads.acquire(at(0), &"d-1".into(), run(45_000));
+    loads.acquire(at(0), &"d-1".into(), share_of(45_000));
     let place = |is_late| {
         let headroom = headroom(&engine(), is_late);
-        view(&directory, &loads, 100).decode("drafting", &engine(), &need(5_000, headroom)).is_some()
+        view(&directory, &loads, 100).decode("drafting", &engine(), &run_of(5_000, headroom)).is_some()
     };
     assert!(place(false));
     assert!(!place(true));
 }
 
 #[test]
-fn an_endpoint_that_refused_for_want_of_memory_is_passed_over_for_a_moment() {
+fn an_endpoint_out_of_memory_is_skipped_for_a_short_time() {
     let directory = directory(vec![endpoint("d-1", Stage::Decode)]);
     let mut loads = Loads::default();
-    let lease = loads.acquire(at(0), &"d-1".into(), run(5_000));
+    let lease = loads.acquire(at(0), &"d-1".into(), share_of(5_000));
     loads.release(at(10), &lease, Outcome::Full);
-    let place = |now| view(&directory, &loads, now).decode("drafting", &engine(), &need(5_000, 0));
+    let place = |now| view(&directory, &loads, now).decode("drafting", &engine(), &run_of(5_000, 0));
     assert!(place(20).is_none());
     assert!(place(200).is_some());
 }
 
 #[test]
-fn a_prompt_is_read_near_its_run_unless_that_means_waiting() {
+fn prefill_stays_in_the_zone_unless_it_would_wait() {
     let far = Endpoint { zone: "zone-b".into(), ..endpoint("p-2", Stage::Prefill) };
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), far]);
     let mut loads = Loads::default();
     let place =
-        |loads: &Loads| reader(view(&directory, loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &[]));
+        |loads: &Loads| id_of(view(&directory, loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &[]));
     assert_eq!(place(&loads), Some("p-1".into()));
     let reading = Share { reading: 8_000, ..Share::default() };
     loads.acquire(at(0), &"p-1".into(), reading);
     assert_eq!(place(&loads), Some("p-2".into()));
 }
 
-/// Ends `count` requests at an endpoint, `failed` of them badly.
-fn play(loads: &mut Loads, id: &str, count: u32, failed: u32) {
+/// Completes `count` requests at an endpoint, of which `failed` fail.
+fn complete(loads: &mut Loads, id: &str, count: u32, failed: u32) {
     for index in 0..count {
         let lease = loads.acquire(at(0), &id.into(), Share { running: 1, ..Share::default() });
-        let good = Outcome::Answered(Duration::from_millis(20));
-        loads.release(at(20), &lease, if index < count - failed { good } else { Outcome::Failed });
+        let success = Outcome::Answered(Duration::from_millis(20));
+        loads.release(at(20), &lease, if index < count - failed { success } else { Outcome::Failed });
     }
 }
 
-/// An endpoint fails requests while its health check is good, and answers failures faster than its
-/// neighbours answer requests: the one that is expected to answer first would be the broken one.
+/// A failing endpoint responds fastest, so selection by response time alone would prefer it.
 #[test]
-fn an_endpoint_that_fails_more_than_its_neighbours_is_left_out() {
+fn an_endpoint_that_fails_more_than_others_is_skipped() {
     let directory = directory(vec![endpoint("w-1", Stage::Whole), endpoint("w-2", Stage::Whole)]);
     let mut loads = Loads::default();
-    play(&mut loads, "w-1", 8, 3);
-    play(&mut loads, "w-2", 8, 0);
+    complete(&mut loads, "w-1", 8, 3);
+    complete(&mut loads, "w-2", 8, 0);
     loads.acquire(at(20), &"w-2".into(), Share { running: 9, ..Share::default() });
     let found = view(&directory, &loads, 30).whole("drafting", &[]);
     assert_eq!(found.map(|found| found.id.clone()), Some("w-2".into()));
 }
 
-/// Four entries share the traffic, so each sees few of an endpoint's answers; what one has found out
-/// spares the others' requests.
+/// Each replica sees few responses of an endpoint, so failures found by one must count for all.
 #[test]
-fn what_another_entry_found_failing_is_left_out_here_too() {
+fn an_endpoint_reported_as_failing_by_another_replica_is_skipped() {
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), endpoint("p-2", Stage::Prefill)]);
     let mut other = Loads::default();
-    play(&mut other, "p-1", 8, 3);
+    complete(&mut other, "p-1", 8, 3);
     let mut loads = Loads::default();
-    let told = Digest { name: "b".into(), failing: other.local_failure_ratios(at(30)), ..Digest::default() };
-    loads.merge_digest(at(30), &told);
+    let digest =
+        Digest { name: "b".into(), failing: other.local_failure_ratios(at(30)), ..Digest::default() };
+    loads.merge_digest(at(30), &digest);
     let found = view(&directory, &loads, 40).prefill("drafting", 5_000, TARGET, "zone-a", &[]);
-    assert_eq!(reader(found), Some("p-2".into()));
+    assert_eq!(id_of(found), Some("p-2".into()));
 }
 
 #[test]
-fn a_failing_endpoint_takes_a_run_when_the_sound_ones_are_full() {
+fn a_failing_endpoint_is_used_when_the_healthy_ones_are_full() {
     let directory = directory(vec![endpoint("d-1", Stage::Decode), endpoint("d-2", Stage::Decode)]);
     let mut loads = Loads::default();
-    play(&mut loads, "d-1", 8, 3);
+    complete(&mut loads, "d-1", 8, 3);
     let place = |loads: &Loads| {
         view(&directory, loads, 30)
-            .decode("drafting", &engine(), &need(5_000, 0))
+            .decode("drafting", &engine(), &run_of(5_000, 0))
             .map(|found| found.id.clone())
     };
     assert_eq!(place(&loads), Some("d-2".into()));
-    loads.acquire(at(25), &"d-2".into(), run(58_000));
+    loads.acquire(at(25), &"d-2".into(), share_of(58_000));
     assert_eq!(place(&loads), Some("d-1".into()));
 }
 
 #[test]
-fn endpoints_that_failed_a_request_are_not_asked_again() {
+fn a_request_is_not_retried_at_an_endpoint_that_failed_it() {
     let directory = directory(vec![endpoint("w-1", Stage::Whole), endpoint("w-2", Stage::Whole)]);
     let loads = Loads::default();
     let avoid = ["w-1".into()];
@@ -174,10 +173,10 @@
     assert_eq!(found.map(|found| found.id.clone()), Some("w-2".into()));
 }
 
-/// One endpoint is left to read prompts, in a burst. Each prompt would wait behind all others, be asked
-/// of another endpoint when it takes too long, and wait there too: nothing is read in time any more.
+/// With an unlimited backlog at the last prefill endpoint, every prompt would time out and be sent
+/// to other endpoints as well.
 #[test]
-fn prompts_wait_in_the_line_and_not_at_an_endpoint() {
+fn the_backlog_of_a_prefill_endpoint_is_limited() {
     let directory = directory(vec![endpoint("p-1", Stage::Prefill)]);
     let mut loads = Loads::default();
     let mut placed = 0;
@@ -195,51 +194,51 @@
     );
 }
 
-/// An entry freezes while its prompts are being read. They are read within half a second, but nobody
-/// says so; the others would take the reader as busy, and let their callers wait, for three seconds.
+/// A replica that hangs must not make prefill endpoints look busy until its whole digest is stale.
 #[test]
-fn what_a_silent_entry_had_read_is_taken_as_read_soon() {
+fn prompts_of_a_silent_replica_stop_counting_before_its_runs() {
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), endpoint("d-1", Stage::Decode)]);
     let mut loads = Loads::default();
     let reading = Share { reading: 30_000, ..Share::default() };
-    let shares = [("p-1".into(), reading), ("d-1".into(), run(30_000))].into();
+    let shares = [("p-1".into(), reading), ("d-1".into(), share_of(30_000))].into();
     loads.merge_digest(at(0), &Digest { name: "frozen".into(), shares, ..Digest::default() });
     assert_eq!(
         view(&directory, &loads, 500).prefill("drafting", 5_000, TARGET, "zone-a", &[]),
         Prefill::Busy
     );
     assert_eq!(
-        reader(view(&directory, &loads, 700).prefill("drafting", 5_000, TARGET, "zone-a", &[])),
+        id_of(view(&directory, &loads, 700).prefill("drafting", 5_000, TARGET, "zone-a", &[])),
         Some("p-1".into())
     );
-    // Its runs go on for seconds.
-    let place = |now| view(&directory, &loads, now).decode("drafting", &engine(), &need(40_000, 0)).is_some();
+    // Its runs still count until the digest is stale.
+    let place =
+        |now| view(&directory, &loads, now).decode("drafting", &engine(), &run_of(40_000, 0)).is_some();
     assert!(!place(2_900));
     assert!(place(3_100));
 }
 
-/// A reader goes dark: connections stay open and nothing comes back. Until the list drops it, seconds
-/// later, each prompt sent there comes out late.
+/// A hanging endpoint keeps its connections open, so only the age of its requests shows the
+/// failure.
 #[test]
-fn a_reader_that_keeps_a_prompt_for_long_gets_no_more() {
+fn a_prefill_endpoint_with_a_stalled_prompt_gets_no_more() {
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), endpoint("p-2", Stage::Prefill)]);
     let mut loads = Loads::default();
     let reading = |tokens| Share { reading: tokens, ..Share::default() };
     loads.acquire(at(0), &"p-1".into(), reading(2_000));
     loads.acquire(at(900), &"p-2".into(), reading(8_000));
     let place = |loads: &Loads, now| {
-        reader(view(&directory, loads, now).prefill("drafting", 5_000, TARGET, "zone-a", &[]))
+        id_of(view(&directory, loads, now).prefill("drafting", 5_000, TARGET, "zone-a", &[]))
     };
     assert_eq!(place(&loads, 700), Some("p-1".into()));
     assert_eq!(place(&loads, 901), Some("p-2".into()));
-    // With nobody else left it is tried all the same.
+    // With no other endpoint idle, the stalled one is tried again.
     assert_eq!(place(&loads, 1_800), Some("p-1".into()));
 }
 
-/// An endpoint is told to become a decode endpoint, and the entries that knew it are killed. It turns
-/// every prompt away for seconds, and each refusal costs one of the few further sends.
+/// An endpoint that is about to change its stage rejects every prompt, and each rejection uses up
+/// retry budget.
 #[test]
-fn a_reader_that_turns_prompts_away_is_left_alone() {
+fn a_prefill_endpoint_that_rejects_prompts_is_ejected() {
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), endpoint("p-2", Stage::Prefill)]);
     let mut loads = Loads::default();
     for now in [0, 10] {
@@ -247,15 +246,15 @@
         loads.release(at(now), &lease, Outcome::TurnedAway);
     }
     loads.acquire(at(20), &"p-2".into(), Share { reading: 8_000, ..Share::default() });
-    let place = |now| reader(view(&directory, &loads, now).prefill("drafting", 5_000, TARGET, "zone-a", &[]));
+    let place = |now| id_of(view(&directory, &loads, now).prefill("drafting", 5_000, TARGET, "zone-a", &[]));
     assert_eq!(place(30), Some("p-2".into()));
     assert_eq!(place(300), Some("p-1".into()));
 }
 
-/// All readers are busy, and two entries have the same decode endpoint read a prompt at the same
-/// moment, each without the other's word: the ten runs there pause for both, and come out late.
+/// Two replicas must not have the same decode endpoint process prompts at the same time, which
+/// would stall its runs for both.
 #[test]
-fn entries_have_prompts_read_at_endpoints_of_their_own() {
+fn replicas_use_separate_decode_endpoints_for_prefill() {
     let directory = directory(
         ["d-1", "d-2", "d-3", "d-4"]
             .map(|id| endpoint(id, Stage::Decode))
@@ -265,46 +264,45 @@
     );
     let mut loads = Loads::default();
     loads.acquire(at(0), &"p-1".into(), Share { reading: 30_000, ..Share::default() });
-    let need = Run { gap: Duration::from_millis(300), ..need(5_000, 0) };
-    let chosen = |index| {
+    let run = Run { gap: Duration::from_millis(300), ..run_of(5_000, 0) };
+    let selected = |index| {
         let partition = Partition { index, count: 3 };
-        let found = View { partition, ..view(&directory, &loads, 10) }.pair("drafting", &engine(), &need);
-        found.map(|found| (found.endpoint.id.clone(), found.reader.is_none()))
+        let found = View { partition, ..view(&directory, &loads, 10) }.pair("drafting", &engine(), &run);
+        found.map(|found| (found.endpoint.id.clone(), found.prefill.is_none()))
     };
-    assert_eq!(chosen(1), Some(("d-2".into(), true)));
-    assert_eq!(chosen(2), Some(("d-3".into(), true)));
-    // Another entry does not know that one of them cannot be reached, and counts it.
-    let lease = loads.acquire(at(0), &"d-1".into(), run(5_000));
+    assert_eq!(selected(1), Some(("d-2".into(), true)));
+    assert_eq!(selected(2), Some(("d-3".into(), true)));
+    // Other replicas may still count an endpoint that is unreachable from here.
+    let lease = loads.acquire(at(0), &"d-1".into(), share_of(5_000));
     loads.release(at(0), &lease, Outcome::Unreachable);
     let partition = Partition { index: 1, count: 3 };
-    let found = View { partition, ..view(&directory, &loads, 10) }.pair("drafting", &engine(), &need);
+    let found = View { partition, ..view(&directory, &loads, 10) }.pair("drafting", &engine(), &run);
     assert_eq!(found.map(|found| found.endpoint.id.clone()), Some("d-2".into()));
 }
 
-/// A decode endpoint has read one prompt beside its runs and starts on the next at once. A run's event
-/// that falls between both waits for parts of both.
+/// Two prompts in a row would stall an event that falls between them for both.
 #[test]
-fn an_endpoint_rests_between_two_prompts_that_it_reads_beside_its_runs() {
+fn a_decode_endpoint_pauses_between_two_prefills() {
     let directory = directory(vec![endpoint("d-1", Stage::Decode), endpoint("p-1", Stage::Prefill)]);
     let mut loads = Loads::default();
     loads.acquire(at(0), &"p-1".into(), Share { reading: 30_000, ..Share::default() });
-    let lease = loads.acquire(at(0), &"d-1".into(), Share { reading: 5_000, ..run(5_000) });
-    let need = Run { gap: Duration::from_millis(300), ..need(5_000, 0) };
+    let lease = loads.acquire(at(0), &"d-1".into(), Share { reading: 5_000, ..share_of(5_000) });
+    let run = Run { gap: Duration::from_millis(300), ..run_of(5_000, 0) };
     let is_placed =
-        |loads: &Loads, now| view(&directory, loads, now).pair("drafting", &engine(), &need).is_some();
+        |loads: &Loads, now| view(&directory, loads, now).pair("drafting", &engine(), &run).is_some();
     assert!(!is_placed(&loads, 10));
     loads.record_first_event(at(200), &lease, Duration::from_millis(120));
     assert!(!is_placed(&loads, 250));
     assert!(is_placed(&loads, 350));
 }
 
-/// An endpoint sheds everything while its health check is good. It refuses faster than the others
-/// answer, and each refusal costs one more send of the little that may be sent again.
+/// An overloaded endpoint refuses faster than others respond, and each refusal uses up retry
+/// budget.
 #[test]
-fn an_endpoint_that_sheds_is_asked_less() {
+fn an_endpoint_that_refuses_requests_gets_fewer() {
     let directory = directory(vec![endpoint("w-1", Stage::Whole), endpoint("w-2", Stage::Whole)]);
     let mut loads = Loads::default();
-    play(&mut loads, "w-2", 3, 0);
+    complete(&mut loads, "w-2", 3, 0);
     let lease = loads.acquire(at(20), &"w-1".into(), Share { running: 1, ..Share::default() });
     loads.release(at(21), &lease, Outcome::Refused);
     let place = |loads: &Loads, now| {
@@ -316,36 +314,36 @@
     assert_eq!(place(&loads, 400), Some("w-2".into()));
 }
 
-/// A burst reaches twenty entries within the tenth of a second in which none has heard of the others' runs.
-/// If each took the roomiest endpoint, all would meet there, and most of the runs be preempted.
+/// In a burst, replicas that don't know each other's runs yet must not all select the endpoint with
+/// the most free memory.
 #[test]
-fn entries_that_have_not_heard_of_each_other_spread_their_runs() {
+fn replicas_unaware_of_each_other_spread_their_runs() {
     let ids: Vec<String> = (0..10).map(|index| format!("d-{index}")).collect();
     let directory = directory(ids.iter().map(|id| endpoint(id, Stage::Decode)).collect());
     let mut loads = Loads::default();
-    loads.acquire(at(0), &"d-0".into(), run(1_000));
-    let mut taken: BTreeMap<Arc<str>, u32> = BTreeMap::new();
-    for entry in 0..20 {
-        let name = format!("entry-{entry}");
-        let view = View { entry: &name, ..view(&directory, &loads, 10) };
-        let found = view.decode("drafting", &engine(), &need(7_000, 0)).expect("there is room");
-        *taken.entry(found.id.clone()).or_default() += 1;
+    loads.acquire(at(0), &"d-0".into(), share_of(1_000));
+    let mut runs_by_endpoint: BTreeMap<Arc<str>, u32> = BTreeMap::new();
+    for replica in 0..20 {
+        let name = format!("entry-{replica}");
+        let view = View { replica: &name, ..view(&directory, &loads, 10) };
+        let found = view.decode("drafting", &engine(), &run_of(7_000, 0)).expect("there is room");
+        *runs_by_endpoint.entry(found.id.clone()).or_default() += 1;
     }
-    // Eight runs fit into an endpoint.
-    assert!(taken.values().all(|runs| *runs <= 8), "{taken:?}");
-    assert!(taken.len() >= 5, "{taken:?}");
+    // Each endpoint has memory for eight runs.
+    assert!(runs_by_endpoint.values().all(|runs| *runs <= 8), "{runs_by_endpoint:?}");
+    assert!(runs_by_endpoint.len() >= 5, "{runs_by_endpoint:?}");
 }
 
-/// One endpoint is nearly full and preferred, another is empty: what is preferred must not matter more.
+/// The preference must not outweigh a large difference in free memory.
 #[test]
-fn an_endpoint_that_is_much_fuller_is_not_preferred() {
+fn the_preference_does_not_outweigh_free_memory() {
     let directory = directory(vec![endpoint("d-1", Stage::Decode), endpoint("d-2", Stage::Decode)]);
     let mut loads = Loads::default();
-    loads.acquire(at(0), &"d-1".into(), run(20_000));
-    for entry in 0..20 {
-        let name = format!("entry-{entry}");
-        let view = View { entry: &name, ..view(&directory, &loads, 10) };
-        let found = view.decode("drafting", &engine(), &need(7_000, 0)).expect("there is room");
+    loads.acquire(at(0), &"d-1".into(), share_of(20_000));
+    for replica in 0..20 {
+        let name = format!("entry-{replica}");
+        let view = View { replica: &name, ..view(&directory, &loads, 10) };
+        let found = view.decode("drafting", &engine(), &run_of(7_000, 0)).expect("there is room");
         assert_eq!(&*found.id, "d-2");
     }
 }
--- a/crates/core/tests/gateway/queue.rs
+++ b/crates/core/tests/gateway/queue.rs
@@ -1,4 +1,4 @@
-//! Who is served when memory is short.
+//! Queue order when memory is short.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn whoever_can_still_be_on_time_goes_before_those_that_cannot() {
+fn requests_on_time_come_before_late_ones() {
     let mut queue = Queue::default();
     queue.push(entry(1, 500, 9_000));
     queue.push(entry(2, 1_100, 9_600));
@@ -43,10 +43,10 @@
     assert_eq!(placed(queue.dispatch(at(800), |_| Some(()))), [2, 3, 1]);
 }
 
-/// A long prompt comes right behind a short one, in a burst. It is read for longer, so it has less time to
-/// wait; served by arrival, it comes out late while the short one has time to spare.
+/// A long prompt takes longer to prefill, so it has less time to wait than a short one that came
+/// before it.
 #[test]
-fn whoever_has_least_time_left_goes_first() {
+fn the_earliest_deadline_comes_first() {
     let mut queue = Queue::default();
     queue.push(entry(1, 700, 9_000));
     queue.push(entry(2, 550, 9_010));
@@ -54,27 +54,27 @@
 }
 
 #[test]
-fn a_large_request_is_not_passed_over() {
+fn a_large_request_is_not_overtaken_by_smaller_ones() {
     let mut queue = Queue::default();
     queue.push(Entry { memory: 50_000, ..entry(1, 500, 9_000) });
     queue.push(entry(2, 501, 9_001));
-    let fits_small = |entry: &Entry<u32>| (entry.memory < 10_000).then_some(());
-    assert!(placed(queue.dispatch(at(10), fits_small)).is_empty());
+    let fits = |entry: &Entry<u32>| (entry.memory < 10_000).then_some(());
+    assert!(placed(queue.dispatch(at(10), fits)).is_empty());
     assert_eq!(placed(queue.dispatch(at(20), |_| Some(()))), [1, 2]);
 }
 
 #[test]
-fn one_service_does_not_hold_up_another() {
+fn a_blocked_service_does_not_block_another() {
     let mut queue = Queue::default();
     queue.push(entry(1, 500, 9_000));
     queue.push(Entry { service: "other".into(), ..entry(2, 501, 9_001) });
     assert_eq!(placed(queue.dispatch(at(10), |entry| (&*entry.service == "other").then_some(()))), [2]);
 }
 
-/// Callers leave a stream that shows nothing for some seconds. A request that starts after that
-/// runs for nobody; one that is told at once may come back in time.
+/// A request that starts after its caller has disconnected wastes memory; one that is refused at
+/// once can be retried elsewhere.
 #[test]
-fn a_request_that_waits_in_vain_is_told() {
+fn a_request_past_its_hard_deadline_expires() {
     let mut queue = Queue::default();
     queue.push(entry(1, 500, 3_000));
     assert!(queue.dispatch(at(2_999), |_| None::<()>).is_empty());
@@ -82,7 +82,7 @@
     assert!(matches!(&expired[..], [(Entry { tag: 1, .. }, Verdict::Expired)]), "{expired:?}");
 }
 
-/// What callers get of a burst.
+/// Outcome counts of a simulated burst.
 #[derive(Debug, Default)]
 struct Result {
     on_time: u32,
@@ -90,23 +90,23 @@
     refused: u32,
 }
 
-/// How the line is served.
+/// Queue order to simulate.
 #[derive(Clone, Copy, PartialEq)]
 enum Order {
-    /// Strictly by arrival.
+    /// By arrival.
     Arrival,
-    /// As the line does it.
+    /// By deadline, as implemented.
     Deadline,
 }
 
-const PLACES: usize = 80;
-const RUN: u64 = 3_300;
-const FIRST: u64 = 300;
-const TARGET: u64 = 900;
-const SILENCE: u64 = 3_600;
+const SLOTS: usize = 80;
+const RUN_MS: u64 = 3_300;
+const FIRST_MS: u64 = 300;
+const TARGET_MS: u64 = 900;
+const SILENCE_MS: u64 = 3_600;
 
-/// Plays a burst of 5 s at 1.3 times what 80 places can take, between calm times at 0.7 times.
-fn play(order: Order, seed: u64) -> Result {
+/// Simulates a burst of 5 s at 1.3 times the capacity, within a load of 0.7 times the capacity.
+fn simulate(order: Order, seed: u64) -> Result {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut queue = Queue::default();
     let mut arrivals: BTreeMap<u32, u64> = BTreeMap::new();
@@ -114,46 +114,47 @@
     let mut result = Result::default();
     for now in (0..15_000_u64).step_by(10) {
         let load = if (5_000..10_000).contains(&now) { 1.3 } else { 0.7 };
-        let chance = load * PLACES as f64 / RUN as f64 * 10.0;
+        let chance = load * SLOTS as f64 / RUN_MS as f64 * 10.0;
         if rng.random_bool(chance) {
             let tag = arrivals.len() as u32;
             arrivals.insert(tag, now);
-            let soft_deadline = if order == Order::Arrival { now + SILENCE } else { now + TARGET - FIRST };
-            queue.push(entry(tag, soft_deadline, now + SILENCE - FIRST));
+            let soft_deadline =
+                if order == Order::Arrival { now + SILENCE_MS } else { now + TARGET_MS - FIRST_MS };
+            queue.push(entry(tag, soft_deadline, now + SILENCE_MS - FIRST_MS));
         }
         ends.retain(|end| *end > now);
-        let mut free = PLACES - ends.len();
+        let mut free_slots = SLOTS - ends.len();
         let verdicts = queue.dispatch(at(now), |entry| {
-            let spare = if entry.is_late(Time::ZERO.plus(std::time::Duration::from_millis(now))) {
-                PLACES / 5
+            let headroom = if entry.is_late(Time::ZERO.plus(std::time::Duration::from_millis(now))) {
+                SLOTS / 5
             } else {
                 0
             };
-            let fits = free > spare;
-            free -= usize::from(fits);
+            let fits = free_slots > headroom;
+            free_slots -= usize::from(fits);
             fits.then_some(())
         });
         for (Entry { tag, .. }, verdict) in verdicts {
             match verdict {
-                Verdict::Placed(()) if now + FIRST <= arrivals[&tag] + TARGET => result.on_time += 1,
+                Verdict::Placed(()) if now + FIRST_MS <= arrivals[&tag] + TARGET_MS => result.on_time += 1,
                 Verdict::Placed(()) => result.late += 1,
                 Verdict::Expired => result.refused += 1,
             }
             if matches!(verdict, Verdict::Placed(())) {
-                ends.push(now + rng.random_range(RUN / 2..RUN * 3 / 2));
+                ends.push(now + rng.random_range(RUN_MS / 2..RUN_MS * 3 / 2));
             }
         }
     }
     result
 }
 
-/// A burst takes more memory than there is for five seconds. Served strictly by arrival, everybody
-/// waits until nobody's first event is on time any more, and stays so until long after the burst.
+/// Served by arrival, every request in a long burst would become late and stay late until well
+/// after it.
 #[test]
-fn a_burst_leaves_most_callers_on_time() {
+fn most_requests_stay_on_time_in_a_burst() {
     for seed in 1..=5 {
-        let by_arrival = play(Order::Arrival, seed);
-        let by_deadline = play(Order::Deadline, seed);
+        let by_arrival = simulate(Order::Arrival, seed);
+        let by_deadline = simulate(Order::Deadline, seed);
         assert!(by_deadline.on_time > by_arrival.on_time, "{seed}: {by_deadline:?} against {by_arrival:?}");
         let all = by_deadline.on_time + by_deadline.late + by_deadline.refused;
         assert!(by_deadline.on_time * 10 >= all * 8, "{seed}: {by_deadline:?}");
