--- a/crates/core/src/gateway/budget.rs
+++ b/crates/core/src/gateway/budget.rs
@@ -60,8 +60,8 @@
         self.bucket(now, service).requests += 1;
     }
 
-    /// Whether a request may be retried; records the retry if so. `sharers` replicas share the
-    /// slack.
+    /// Records a retry if the budget allows it, and returns whether it does. `sharers` is the
+    /// number of replicas that share the slack.
     pub fn try_spend(&mut self, now: Time, service: &Arc<str>, sharers: u32) -> bool {
         self.bucket(now, service);
         let buckets = &self.services[service];
--- a/crates/core/src/gateway/forecast.rs
+++ b/crates/core/src/gateway/forecast.rs
@@ -142,16 +142,17 @@
 
     /// Returns the timeout after which a prompt is sent to another endpoint. `tokens` includes the
     /// prompts queued before it.
-    pub fn prefill_timeout(&self, tokens: u64, aim: Duration) -> Duration {
-        let limit = self.prefill_time(tokens) * PREFILL_TIMEOUT_FACTOR + aim.mul_f64(PREFILL_TIMEOUT_SLACK);
-        if self.prefill.is_some() { limit } else { limit.max(aim) }
+    pub fn prefill_timeout(&self, tokens: u64, ttft_target: Duration) -> Duration {
+        let limit =
+            self.prefill_time(tokens) * PREFILL_TIMEOUT_FACTOR + ttft_target.mul_f64(PREFILL_TIMEOUT_SLACK);
+        if self.prefill.is_some() { limit } else { limit.max(ttft_target) }
     }
 
     /// Returns the time a decode endpoint needs to process a prompt itself; its runs stall
     /// meanwhile.
     pub fn local_prefill_time(&self, tokens: u64) -> Duration {
         match self.local_prefill {
-            Some(own) => own.at(tokens),
+            Some(trend) => trend.at(tokens),
             None => self.prefill_time(tokens).mul_f64(LOCAL_PREFILL_SLOWDOWN),
         }
     }
@@ -175,19 +176,20 @@
         self.output_length.unwrap_or_default()
     }
 
-    /// Returns the time from the first event of a run to its last, at the typical memory use.
+    /// Returns the time to decode this many tokens after the first event, at the typical memory
+    /// use.
     pub fn decode_time(&self, tokens: u64) -> Duration {
         self.decode_time_at(tokens, self.memory)
     }
 
     /// Returns the same at an endpoint with `memory` KV cache tokens in use.
     pub fn decode_time_at(&self, tokens: u64, memory: u64) -> Duration {
-        let gap = self.event_interval_at(memory).as_secs_f64();
+        let interval = self.event_interval_at(memory).as_secs_f64();
         let events = tokens as f64 / self.output_length_or_default().event_tokens.max(f64::MIN_POSITIVE);
-        Duration::from_secs_f64((gap * events).min(MAX_DECODE_SECS))
+        Duration::from_secs_f64((interval * events).min(MAX_DECODE_SECS))
     }
 
-    /// Whether enough runs were observed to forecast decode times.
+    /// Returns whether enough runs were observed to forecast decode times.
     pub fn has_decode_data(&self) -> bool {
         self.event_interval.is_some() && self.output_length.is_some()
     }
@@ -216,14 +218,14 @@
             .then(|| self.typical_event_interval().mul_f64(self.output_length_or_default().events / 2.0))
     }
 
-    /// Whether a stream that starts now is expected to finish within `left`, the time until the
-    /// process exits. `is_in_rotation` tells whether the load balancer may still route callers
+    /// Returns whether a stream that starts now is expected to finish within `left`, the time until
+    /// the process exits. `is_in_rotation` tells whether the load balancer may still route callers
     /// here.
     pub fn finishes_within(&self, left: Duration, size: Size, is_in_rotation: bool) -> bool {
         let sigmas = if is_in_rotation { LENGTH_SIGMAS } else { STRICT_LENGTH_SIGMAS };
         let factor = (self.output_length_or_default().spread * sigmas).exp();
-        let answer = ((size.expected_output as f64 * factor) as u64).min(size.max_output);
-        self.first_event_time(size.prompt) + self.prefill_time(size.prompt) + self.decode_time(answer) < left
+        let output = ((size.expected_output as f64 * factor) as u64).min(size.max_output);
+        self.first_event_time(size.prompt) + self.prefill_time(size.prompt) + self.decode_time(output) < left
     }
 }
 
@@ -242,7 +244,7 @@
     output_lengths: OutputLengths,
     /// Median over the endpoints, as of the last [`Forecasts::recompute`].
     typical: Forecast,
-    /// Forecast reported by another replica, used where this one has no observations.
+    /// Latest forecast reported by another replica, used where this one has no observations.
     peer: Forecast,
     /// Output lengths reported by other replicas. A single replica sees few requests, so they are
     /// averaged.
@@ -259,8 +261,8 @@
         let rate = |of: fn(&Speed) -> &Rate| {
             let rates = || self.endpoints.values().map(of);
             let known = |rate: &Rate| Some((rate.trend()?, REFERENCE_PROMPT_TOKENS));
-            let answering = median(rates().filter(|rate| rate.is_responsive()).filter_map(known));
-            answering.or_else(|| median(rates().filter_map(known))).map(|(trend, _)| trend)
+            let responsive = median(rates().filter(|rate| rate.is_responsive()).filter_map(known));
+            responsive.or_else(|| median(rates().filter_map(known))).map(|(trend, _)| trend)
         };
         let fit = |of: fn(&Speed) -> &Fit| {
             let fits = self.endpoints.values().map(of);
@@ -352,12 +354,12 @@
     /// Returns the forecasts to report to other replicas. Output lengths include only local
     /// observations, so that none counts twice.
     pub fn local(&self) -> BTreeMap<Arc<str>, Forecast> {
-        let mut own = self.typical();
-        own.retain(|_, forecast| *forecast != Forecast::default());
-        for (name, forecast) in &mut own {
+        let mut forecasts = self.typical();
+        forecasts.retain(|_, forecast| *forecast != Forecast::default());
+        for (name, forecast) in &mut forecasts {
             forecast.output_length = self.0[name].output_lengths.estimate();
         }
-        own
+        forecasts
     }
 
     /// Merges the forecasts that another replica reported.
@@ -365,8 +367,8 @@
         for (name, forecast) in forecasts {
             let service = self.0.entry(name.clone()).or_default();
             service.peer = *forecast;
-            if let Some(answer) = forecast.output_length {
-                service.peer_output_lengths.insert(peer.clone(), answer);
+            if let Some(output_length) = forecast.output_length {
+                service.peer_output_lengths.insert(peer.clone(), output_length);
             }
             if service.typical == Forecast::default() {
                 service.recompute();
--- a/crates/core/src/gateway/forecast/output.rs
+++ b/crates/core/src/gateway/forecast/output.rs
@@ -66,16 +66,16 @@
 
 /// Combines the estimates of several replicas, weighted by their observations. `None` without any.
 pub fn weighted_mean<'a>(estimates: impl Iterator<Item = &'a OutputLength>) -> Option<OutputLength> {
-    let estimates: Vec<&OutputLength> = estimates.filter(|answer| answer.weight > 0.0).collect();
-    let weight: f64 = estimates.iter().map(|answer| answer.weight).sum();
+    let estimates: Vec<&OutputLength> = estimates.filter(|estimate| estimate.weight > 0.0).collect();
+    let weight: f64 = estimates.iter().map(|estimate| estimate.weight).sum();
     let mean = |of: fn(&OutputLength) -> f64| {
-        let sum: f64 = estimates.iter().map(|answer| of(answer) * answer.weight).sum();
+        let sum: f64 = estimates.iter().map(|estimate| of(estimate) * estimate.weight).sum();
         sum / weight
     };
     (weight > 0.0).then(|| OutputLength {
-        event_tokens: mean(|answer| answer.event_tokens.max(f64::MIN_POSITIVE).ln()).exp(),
-        spread: mean(|answer| answer.spread),
-        events: mean(|answer| answer.events),
+        event_tokens: mean(|estimate| estimate.event_tokens.max(f64::MIN_POSITIVE).ln()).exp(),
+        spread: mean(|estimate| estimate.spread),
+        events: mean(|estimate| estimate.events),
         weight,
     })
 }
--- a/crates/core/src/gateway/growth.rs
+++ b/crates/core/src/gateway/growth.rs
@@ -32,10 +32,10 @@
     /// Returns the memory of a run that has generated `generated` tokens. `spread` is the standard
     /// deviation of the logarithm of its output length against the estimate.
     pub fn for_run(size: Size, generated: u64, spread: f64) -> Self {
-        let now = survival(size, generated as f64, spread).max(f64::MIN_POSITIVE);
-        Self(HORIZONS.map(|ahead| {
-            let tokens = (generated + ahead) as f64;
-            let running = (survival(size, tokens, spread) / now).min(1.0);
+        let current = survival(size, generated as f64, spread).max(f64::MIN_POSITIVE);
+        Self(HORIZONS.map(|horizon| {
+            let tokens = (generated + horizon) as f64;
+            let running = (survival(size, tokens, spread) / current).min(1.0);
             let deviation = (running * (1.0 - running)).sqrt();
             to_tokens((size.prompt as f64 + tokens) * (running + DEVIATIONS_RESERVED * deviation).min(1.0))
         }))
--- a/crates/core/src/gateway/lease.rs
+++ b/crates/core/src/gateway/lease.rs
@@ -3,8 +3,8 @@
 //! Endpoints accept orders from any replica, so only one replica at a time may send them. The lease
 //! is a row of the store, written conditionally before each order; the version of that write is the
 //! order's fencing token. The holder may act for [`LEASE_DURATION`] after a write. Another replica
-//! waits for a further [`HANDOVER_DELAY`]. All times are of the store's clock, so replicas' clocks
-//! are never compared.
+//! waits for a further [`HANDOVER_DELAY`]. Expiry is judged by the store's clock, so replicas'
+//! clocks are never compared.
 
 use std::{sync::Arc, time::Duration};
 
@@ -36,8 +36,8 @@
 
 /// Returns the row version that a write must be conditional on, or `None` while another replica
 /// holds the lease.
-pub fn claimable_version(snapshot: &Snapshot, own: &str) -> Option<u64> {
+pub fn claimable_version(snapshot: &Snapshot, replica: &str) -> Option<u64> {
     let Some(claim) = &snapshot.claim else { return Some(0) };
-    let lapsed = claim.asked_ms + (LEASE_DURATION + HANDOVER_DELAY).as_millis() as u64;
-    (&*claim.holder == own || snapshot.now_ms >= lapsed).then_some(claim.version)
+    let expires_ms = claim.asked_ms + (LEASE_DURATION + HANDOVER_DELAY).as_millis() as u64;
+    (&*claim.holder == replica || snapshot.now_ms >= expires_ms).then_some(claim.version)
 }
--- a/crates/core/src/gateway/load.rs
+++ b/crates/core/src/gateway/load.rs
@@ -64,7 +64,7 @@
     /// Recent outcomes of this replica's requests.
     pub health: Health,
     full_until: Time,
-    /// When the endpoint may process the next prompt beside its runs.
+    /// When the endpoint may start its next local prefill.
     prefill_ready_at: Time,
 }
 
@@ -90,16 +90,16 @@
     /// requests, so this detects a failing endpoint sooner.
     pub fn failure_ratio(&self, now: Time) -> f64 {
         let fresh = self.peer_failure_ratios.values().filter(|(at, _)| now.since(*at) < STALE);
-        fresh.map(|(_, failing)| f64::from(*failing) / 1_000.0).fold(self.health.failing(now), f64::max)
+        fresh.map(|(_, ratio)| f64::from(*ratio) / 1_000.0).fold(self.health.failing(now), f64::max)
     }
 
-    /// Whether a decode endpoint may process a prompt: none is in flight, and its runs have had
-    /// time to progress since the last.
+    /// Returns whether a decode endpoint may start a local prefill: none is in flight, and its runs
+    /// had time to progress since the last one.
     pub fn is_ready_for_prefill(&self, now: Time) -> bool {
         self.prefill_ready_at <= now && self.total(now).reading == 0
     }
 
-    /// Whether the endpoint refused a run for lack of memory a moment ago.
+    /// Returns whether the endpoint refused a run for lack of memory a moment ago.
     pub fn is_full(&self, now: Time) -> bool {
         self.full_until > now
     }
@@ -159,8 +159,8 @@
     }
 
     /// Records the first event of a response, by which the prompt has been processed. The caller
-    /// then updates its lease with [`Lease::clear_prefill`]. After a prefill beside its runs, the
-    /// endpoint gets no other for `pause`.
+    /// then updates its lease with [`Lease::clear_prefill`]. After a local prefill, the endpoint
+    /// gets no other for `pause`.
     pub fn record_first_event(&mut self, now: Time, lease: &Lease, pause: Duration) {
         if let Some(load) = self.0.get_mut(&lease.endpoint) {
             load.local.reading = load.local.reading.saturating_sub(lease.share.reading);
@@ -201,9 +201,9 @@
             load.peers.remove(&digest.name);
             load.peer_failure_ratios.remove(&digest.name);
         }
-        for (endpoint, failing) in &digest.failing {
+        for (endpoint, ratio) in &digest.failing {
             let load = self.0.entry(endpoint.clone()).or_default();
-            load.peer_failure_ratios.insert(digest.name.clone(), (now, *failing));
+            load.peer_failure_ratios.insert(digest.name.clone(), (now, *ratio));
         }
         for (endpoint, share) in &digest.shares {
             let load = self.0.entry(endpoint.clone()).or_default();
@@ -221,8 +221,8 @@
     /// report.
     pub fn local_failure_ratios(&self, now: Time) -> BTreeMap<Arc<str>, u16> {
         let ratios = self.0.iter().map(|(endpoint, load)| (endpoint, load.health.failing(now)));
-        let reported = ratios.filter(|(_, failing)| *failing >= MIN_REPORTED_FAILURE_RATIO);
-        reported.map(|(endpoint, failing)| (endpoint.clone(), (failing * 1_000.0) as u16)).collect()
+        let reported = ratios.filter(|(_, ratio)| *ratio >= MIN_REPORTED_FAILURE_RATIO);
+        reported.map(|(endpoint, ratio)| (endpoint.clone(), (ratio * 1_000.0) as u16)).collect()
     }
 
     /// Drops an endpoint that is gone, unless requests are still in flight there.
--- a/crates/core/src/gateway/placement.rs
+++ b/crates/core/src/gateway/placement.rs
@@ -43,8 +43,8 @@
 
 /// Returns the memory that must stay free at an endpoint after placing a request, in tokens.
 pub fn headroom(engine: &Engine, is_late: bool) -> u64 {
-    let part = if is_late { LATE_HEADROOM } else { HEADROOM };
-    (engine.memory as f64 * part) as u64
+    let fraction = if is_late { LATE_HEADROOM } else { HEADROOM };
+    (engine.memory as f64 * fraction) as u64
 }
 
 /// A run to be placed.
@@ -54,7 +54,7 @@
     pub prompt: u64,
     /// Expected KV cache use over time.
     pub growth: Growth,
-    /// Memory that must stay free beside the run, in tokens.
+    /// Memory that must stay free in addition to the run, in tokens.
     pub headroom: u64,
     /// Target for the longest pause between events; zero if none is declared.
     pub gap: Duration,
@@ -105,7 +105,8 @@
     pub partition: Partition,
 }
 
-/// This replica's partition of endpoints that only one replica may use at a time.
+/// Assignment of decode endpoints to replicas for local prefill. Each endpoint belongs to one
+/// replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Partition {
     /// Index of this replica, below `count`.
@@ -115,7 +116,7 @@
 }
 
 impl Partition {
-    /// Whether the endpoint at an index of the shared list belongs to this replica.
+    /// Returns whether the endpoint at an index of the shared list belongs to this replica.
     fn contains(self, index: usize) -> bool {
         index as u32 % self.count.max(1) == self.index
     }
@@ -129,8 +130,8 @@
     /// Returns the endpoints that may be tried.
     fn reachable(&self, service: &'a str, stage: Stage, avoid: &[Arc<str>]) -> Vec<&'a Arc<Endpoint>> {
         let serving = self.directory.serving(service).filter(|endpoint| endpoint.stage == stage);
-        let tried = serving.filter(|endpoint| !avoid.contains(&endpoint.id));
-        let stable = tried.filter(|endpoint| !self.pools.is_changing(self.now, &endpoint.id));
+        let untried = serving.filter(|endpoint| !avoid.contains(&endpoint.id));
+        let stable = untried.filter(|endpoint| !self.pools.is_changing(self.now, &endpoint.id));
         stable.filter(|endpoint| !self.is_ejected(endpoint)).collect()
     }
 
@@ -146,7 +147,7 @@
         self.load(endpoint).is_some_and(|load| load.health.is_shunned(self.now))
     }
 
-    /// Whether a prompt is in flight for so long that the endpoint probably hangs.
+    /// Returns whether a prompt is in flight for so long that the endpoint probably hangs.
     fn is_stalled(&self, endpoint: &Endpoint, ttft_target: Duration) -> bool {
         let longest = ttft_target.mul_f64(STALLED_PREFILL);
         self.load(endpoint).is_some_and(|load| load.health.longest_wait(self.now) > longest)
@@ -162,8 +163,8 @@
         let expected = |endpoint: &Endpoint| {
             let Some(load) = self.load(endpoint) else { return 0 };
             let ahead = f64::from(load.total(self.now).running + 1);
-            let zones = if self.is_in_zone(endpoint, self.zone) { 1.0 } else { CROSS_ZONE_FACTOR };
-            micros(load.health.answer_time(self.now).mul_f64(ahead * zones))
+            let zone_factor = if self.is_in_zone(endpoint, self.zone) { 1.0 } else { CROSS_ZONE_FACTOR };
+            micros(load.health.answer_time(self.now).mul_f64(ahead * zone_factor))
         };
         let is_full = |endpoint: &Endpoint| self.load(endpoint).is_some_and(|load| load.is_full(self.now));
         let candidates = self.candidates(service, Stage::Whole, avoid).into_iter();
@@ -195,12 +196,12 @@
             candidates.retain(|endpoint| !self.is_stalled(endpoint, ttft_target));
         }
         let timed = candidates.into_iter().map(|endpoint| (self.prefill_times(endpoint, prompt), endpoint));
-        let first = timed.min_by_key(
-            |((_, read), endpoint)| {
-                if self.is_in_zone(endpoint, zone) { *read } else { *read + penalty }
+        let best = timed.min_by_key(
+            |((_, end), endpoint)| {
+                if self.is_in_zone(endpoint, zone) { *end } else { *end + penalty }
             },
         );
-        match first {
+        match best {
             None => Prefill::Unavailable,
             Some(((busy, _), _)) if busy > ttft_target.mul_f64(MAX_PREFILL_BACKLOG) => Prefill::Busy,
             Some((_, endpoint)) => Prefill::Endpoint(endpoint.clone()),
@@ -273,21 +274,21 @@
         if load.is_some_and(|load| load.is_full(self.now)) {
             return None;
         }
-        let taken = load.map(|load| load.total(self.now)).unwrap_or_default();
-        if taken.running >= engine.slots {
+        let current = load.map(|load| load.total(self.now)).unwrap_or_default();
+        if current.running >= engine.slots {
             return None;
         }
-        let peak = (taken.growth + run.growth).peak();
+        let peak = (current.growth + run.growth).peak();
         // A run too large to leave the headroom free may still run alone.
-        let is_alone = taken.running == 0 && u64::from(run.growth.0[0]) <= engine.memory;
-        let left = if is_alone {
+        let is_alone = current.running == 0 && u64::from(run.growth.0[0]) <= engine.memory;
+        let remaining = if is_alone {
             engine.memory.saturating_sub(peak)
         } else {
             engine.memory.checked_sub(peak + run.headroom)?
         };
         let zone_bonus = if self.is_in_zone(endpoint, self.zone) { LOCAL_ZONE_BONUS } else { 0.0 };
         let bonus = zone_bonus + PREFERENCE_BONUS * self.preference(endpoint);
-        Some(left + (engine.memory as f64 * bonus) as u64)
+        Some(remaining + (engine.memory as f64 * bonus) as u64)
     }
 
     /// Returns this replica's preference for an endpoint, from 0 to 1: a hash that is stable over
@@ -303,17 +304,17 @@
     /// Summarizes the endpoints of a stage, for logs and refusals.
     pub fn describe(&self, service: &str, stage: Stage) -> String {
         let serving = self.directory.serving(service).filter(|endpoint| endpoint.stage == stage);
-        let (mut all, mut shunned, mut full, mut running, mut memory) = (0, 0, 0, 0, 0);
+        let (mut all, mut ejected, mut full, mut running, mut memory) = (0, 0, 0, 0, 0);
         for endpoint in serving {
             all += 1;
             let Some(load) = self.load(endpoint) else { continue };
-            shunned += u32::from(load.health.is_shunned(self.now));
+            ejected += u32::from(load.health.is_shunned(self.now));
             full += u32::from(load.is_full(self.now));
             running += load.total(self.now).running;
             memory += load.total(self.now).memory;
         }
         format!(
-            "{all} {stage} endpoints, {shunned} left alone, {full} full, {running} runs, {memory} tokens taken"
+            "{all} {stage} endpoints, {ejected} left alone, {full} full, {running} runs, {memory} tokens taken"
         )
     }
 
@@ -321,7 +322,7 @@
         &*endpoint.zone == zone
     }
 
-    /// Whether a service has any endpoint of a stage that accepts work.
+    /// Returns whether a service has any endpoint of a stage that accepts work.
     pub fn has_stage(&self, service: &str, stage: Stage) -> bool {
         self.directory.serving(service).any(|endpoint| endpoint.stage == stage)
     }
--- a/crates/core/src/gateway/pools.rs
+++ b/crates/core/src/gateway/pools.rs
@@ -1,9 +1,9 @@
 //! Split of a service's endpoints into a prefill and a decode pool.
 //!
-//! Prefill is bound by compute, decode by memory, and the sizes of prompts and outputs decide how
-//! much of each is needed. The split is computed from recent requests, and endpoints are ordered to
-//! change their pool one at a time. Only the ratio of prefill to decode work matters, not the total
-//! load, so a burst does not trigger a change.
+//! Prefill is bound by compute, decode by memory, and the sizes of prompts and outputs determine
+//! how much of each is needed. The split is computed from recent requests, and endpoints are
+//! ordered to change their pool one at a time. Only the ratio of prefill to decode work matters,
+//! not the total load, so a burst does not trigger a change.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -19,7 +19,7 @@
 /// Number of recent requests needed to compute a split.
 const MIN_REQUESTS: f64 = 15.0;
 /// Weight of observed outputs needed to compute a split.
-const MIN_ANSWER_WEIGHT: f64 = 8.0;
+const MIN_OUTPUT_WEIGHT: f64 = 8.0;
 /// Half-life of recorded requests: longer than a burst, shorter than a lasting shift of the
 /// traffic.
 const HALF_LIFE: Duration = Duration::from_secs(15);
@@ -63,12 +63,12 @@
 }
 
 impl Demand {
-    fn fade(&mut self, now: Time) {
-        let kept = fading(now.since(self.at), HALF_LIFE);
-        self.requests *= kept;
-        self.prompt *= kept;
-        self.endpoints *= kept;
-        self.endpoint_tokens *= kept;
+    fn decay(&mut self, now: Time) {
+        let factor = fading(now.since(self.at), HALF_LIFE);
+        self.requests *= factor;
+        self.prompt *= factor;
+        self.endpoints *= factor;
+        self.endpoint_tokens *= factor;
         self.at = now;
     }
 
@@ -76,13 +76,14 @@
     fn prefill_fraction(&self, engine: &Engine, forecast: &Forecast) -> Option<f64> {
         forecast
             .output_length
-            .filter(|answer| answer.weight >= MIN_ANSWER_WEIGHT && forecast.has_decode_data())?;
+            .filter(|output| output.weight >= MIN_OUTPUT_WEIGHT && forecast.has_decode_data())?;
         let mean_prompt = (self.prompt / self.requests) as u64;
         let prefill = forecast.prefill?.at(mean_prompt).as_secs_f64() * self.requests * PREFILL_HEADROOM;
-        let full = (engine.memory as f64 * USABLE_MEMORY) as u64;
-        let token = forecast.decode_time_at(REFERENCE_TOKENS, full).as_secs_f64() / REFERENCE_TOKENS as f64;
-        let first = forecast.first_event_time(mean_prompt).as_secs_f64();
-        let decode = first * self.endpoints + token * self.endpoint_tokens;
+        let full_memory = (engine.memory as f64 * USABLE_MEMORY) as u64;
+        let decode_token =
+            forecast.decode_time_at(REFERENCE_TOKENS, full_memory).as_secs_f64() / REFERENCE_TOKENS as f64;
+        let first_event = forecast.first_event_time(mean_prompt).as_secs_f64();
+        let decode = first_event * self.endpoints + decode_token * self.endpoint_tokens;
         Some(prefill / (prefill + decode).max(f64::MIN_POSITIVE))
     }
 }
@@ -125,7 +126,7 @@
     pub fn record_request(&mut self, now: Time, service: &Arc<str>, engine: &Engine, size: Size) {
         let Size { prompt, expected_output, .. } = size;
         let demand = self.demand.entry(service.clone()).or_default();
-        demand.fade(now);
+        demand.decay(now);
         let runs = engine.memory as f64 * USABLE_MEMORY / mean_memory(prompt, expected_output).max(1) as f64;
         let endpoints = 1.0 / runs.clamp(1.0, f64::from(engine.slots.max(1)));
         demand.requests += 1.0;
@@ -139,7 +140,7 @@
     pub fn prefill_target(&mut self, now: Time, service: &ServiceInfo<'_>, count: usize) -> Option<f64> {
         let ServiceInfo { name, engine, forecast } = service;
         let demand = self.demand.get_mut(*name)?;
-        demand.fade(now);
+        demand.decay(now);
         if demand.requests < MIN_REQUESTS || count < 2 {
             return None;
         }
@@ -147,7 +148,7 @@
         Some((count as f64 * fraction).clamp(1.0, count as f64 - 1.0))
     }
 
-    /// Whether an endpoint is changing its stage and must get no work.
+    /// Returns whether an endpoint is changing its stage and must get no work.
     pub fn is_changing(&self, now: Time, endpoint: &str) -> bool {
         self.changing.get(endpoint).is_some_and(|(until, _)| *until > now)
             || self.peer_changing.get(endpoint).is_some_and(|(until, _)| *until > now)
@@ -197,11 +198,11 @@
         let name = service.name;
         self.changing.retain(|_, (until, _)| *until > now);
         self.peer_changing.retain(|_, (until, _)| *until > now);
-        let engines: Vec<&Arc<Endpoint>> =
+        let endpoints: Vec<&Arc<Endpoint>> =
             directory.serving(name).filter(|endpoint| endpoint.stage != Stage::Whole).collect();
-        let target = self.prefill_target(now, service, engines.len())?;
+        let target = self.prefill_target(now, service, endpoints.len())?;
         let prefilling =
-            engines.iter().filter(|endpoint| self.target_stage(endpoint) == Stage::Prefill).count();
+            endpoints.iter().filter(|endpoint| self.target_stage(endpoint) == Stage::Prefill).count();
         let excess = prefilling as f64 - target;
         if excess.abs() < MIN_IMBALANCE {
             self.imbalanced.remove(name);
@@ -221,7 +222,7 @@
         if !is_due || self.changing.len() + self.peer_changing.len() >= MAX_CHANGES {
             return None;
         }
-        let candidates = engines.into_iter().filter(|endpoint| endpoint.stage == from);
+        let candidates = endpoints.into_iter().filter(|endpoint| endpoint.stage == from);
         let idle = candidates.filter(|endpoint| !self.is_changing(now, &endpoint.id));
         let endpoint = idle.min_by_key(|endpoint| pending_work(now, loads, endpoint))?.clone();
         self.last_order = Some(now);
@@ -239,7 +240,7 @@
 /// Returns the tokens that an endpoint must finish before it can change.
 fn pending_work(now: Time, loads: &Loads, endpoint: &Endpoint) -> u64 {
     loads.get(&endpoint.id).map_or(0, |load| {
-        let all = load.total(now);
-        all.reading + all.memory
+        let total = load.total(now);
+        total.reading + total.memory
     })
 }
--- a/crates/core/src/gateway/queue.rs
+++ b/crates/core/src/gateway/queue.rs
@@ -36,7 +36,7 @@
 }
 
 impl<T> Entry<T> {
-    /// Whether the request can no longer meet its time-to-first-token target.
+    /// Returns whether the request can no longer meet its time-to-first-token target.
     pub fn is_late(&self, now: Time) -> bool {
         self.soft_deadline < now
     }
@@ -76,7 +76,7 @@
         self.0.len()
     }
 
-    /// Whether the queue is empty.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -87,8 +87,8 @@
         self.0.retain(|entry| keep(&entry.tag));
     }
 
-    /// Removes expired requests and those that `place` finds an endpoint for, in order. After the
-    /// first request of a service that does not fit, the rest of that service stay queued.
+    /// Removes expired requests and those that `place` finds an endpoint for, in order. Once a
+    /// request does not fit, all later ones of its service stay queued.
     pub fn dispatch<P>(
         &mut self,
         now: Time,
@@ -97,25 +97,25 @@
         self.0.sort_by_key(|entry| entry.rank(now));
         let mut verdicts = Vec::new();
         let mut blocked: Vec<Arc<str>> = Vec::new();
-        let mut left = Vec::new();
+        let mut remaining = Vec::new();
         for entry in std::mem::take(&mut self.0) {
             if entry.hard_deadline < now {
                 verdicts.push((entry, Verdict::Expired));
                 continue;
             }
             if blocked.contains(&entry.service) {
-                left.push(entry);
+                remaining.push(entry);
                 continue;
             }
             match place(&entry) {
-                Some(found) => verdicts.push((entry, Verdict::Placed(found))),
+                Some(placement) => verdicts.push((entry, Verdict::Placed(placement))),
                 None => {
                     blocked.push(entry.service.clone());
-                    left.push(entry);
+                    remaining.push(entry);
                 }
             }
         }
-        self.0 = left;
+        self.0 = remaining;
         verdicts
     }
 }
--- a/crates/core/tests/gateway/forecast.rs
+++ b/crates/core/tests/gateway/forecast.rs
@@ -4,7 +4,7 @@
 
 use tarragonhill_core::gateway::forecast::{Forecast, Forecasts, Observation, Size};
 
-use crate::{SMALL, Sheet, at, learned, teach};
+use crate::{SMALL, Speed, at, learned, train};
 
 /// Target for the time to the first event.
 const TARGET: Duration = Duration::from_millis(900);
@@ -48,7 +48,7 @@
     assert!(small().prefill_timeout(27_000, TARGET) >= Duration::from_millis(1_300));
 }
 
-/// Whether a time is within a tenth of the expected one.
+/// Returns whether a time is within a tenth of the expected one.
 fn is_near(time: Duration, millis: u64) -> bool {
     let ratio = time.as_secs_f64() * 1e3 / millis as f64;
     (0.9..1.1).contains(&ratio)
@@ -56,17 +56,17 @@
 
 #[test]
 fn forecasts_match_the_observed_engine() {
-    for sheet in [
+    for speed in [
         SMALL,
-        Sheet { prompt_us: 2, first_ms: 15, token_us: 500, event_tokens: 1 },
-        Sheet { prompt_us: 18, first_ms: 30, token_us: 640, event_tokens: 72 },
-        Sheet { prompt_us: 180, first_ms: 400, token_us: 20_000, event_tokens: 4 },
+        Speed { prompt_us: 2, first_ms: 15, token_us: 500, event_tokens: 1 },
+        Speed { prompt_us: 18, first_ms: 30, token_us: 640, event_tokens: 72 },
+        Speed { prompt_us: 180, first_ms: 400, token_us: 20_000, event_tokens: 4 },
     ] {
-        let forecast = learned(sheet).service("drafting");
-        assert!(is_near(forecast.prefill_time(5_000), sheet.prompt_us * 5), "{sheet:?}");
-        assert!(is_near(forecast.first_event_time(5_000), sheet.first_ms), "{sheet:?}");
-        assert!(is_near(forecast.decode_time(1_000), sheet.token_us), "{sheet:?}");
-        assert!(is_near(forecast.local_prefill_time(5_000), sheet.prompt_us * 10), "{sheet:?}");
+        let forecast = learned(speed).service("drafting");
+        assert!(is_near(forecast.prefill_time(5_000), speed.prompt_us * 5), "{speed:?}");
+        assert!(is_near(forecast.first_event_time(5_000), speed.first_ms), "{speed:?}");
+        assert!(is_near(forecast.decode_time(1_000), speed.token_us), "{speed:?}");
+        assert!(is_near(forecast.local_prefill_time(5_000), speed.prompt_us * 10), "{speed:?}");
     }
 }
 
@@ -107,8 +107,8 @@
 fn a_slow_endpoint_does_not_change_the_service_forecast() {
     let mut forecasts = Forecasts::default();
     for (endpoint, factor) in [("e-1", 1), ("e-2", 20), ("e-3", 1)] {
-        let sheet = Sheet { prompt_us: SMALL.prompt_us * factor, token_us: SMALL.token_us * factor, ..SMALL };
-        teach(&mut forecasts, at(0), endpoint, sheet);
+        let speed = Speed { prompt_us: SMALL.prompt_us * factor, token_us: SMALL.token_us * factor, ..SMALL };
+        train(&mut forecasts, at(0), endpoint, speed);
     }
     let typical = forecasts.service("drafting");
     assert!(is_near(typical.decode_time(1_000), SMALL.token_us));
--- a/crates/core/tests/gateway/growth.rs
+++ b/crates/core/tests/gateway/growth.rs
@@ -27,8 +27,8 @@
 fn generated_tokens_count_and_shorten_the_rest_of_the_run() {
     let partial = Growth::for_run(size(), 4_000, SPREAD);
     assert_eq!(partial.0[0], 9_000);
-    let late = HORIZONS.iter().position(|ahead| *ahead == 4_096).expect("looked at");
-    assert!(partial.0[late] < Growth::for_run(size(), 0, SPREAD).0[late]);
+    let index = HORIZONS.iter().position(|horizon| *horizon == 4_096).expect("one of the horizons");
+    assert!(partial.0[index] < Growth::for_run(size(), 0, SPREAD).0[index]);
 }
 
 /// Runs that start in a burst reach their peak together, which mean memory use does not show.
@@ -51,9 +51,9 @@
     let mut overfilled = [0; HORIZONS.len()];
     for _ in 0..cases {
         let lengths: Vec<f64> = (0..runs).map(|_| draw(&mut rng)).collect();
-        for ((ahead, reserved), overfilled) in HORIZONS.iter().zip(reserved.0).zip(&mut overfilled) {
-            let active = lengths.iter().filter(|length| **length > *ahead as f64).count() as u64;
-            *overfilled += u32::from((5_000 + ahead) * active > u64::from(reserved) + 1);
+        for ((horizon, reserved), overfilled) in HORIZONS.iter().zip(reserved.0).zip(&mut overfilled) {
+            let active = lengths.iter().filter(|length| **length > *horizon as f64).count() as u64;
+            *overfilled += u32::from((5_000 + horizon) * active > u64::from(reserved) + 1);
         }
     }
     assert!(overfilled.iter().all(|count| *count <= cases / 50), "{overfilled:?}");
--- a/crates/core/tests/gateway/main.rs
+++ b/crates/core/tests/gateway/main.rs
@@ -80,7 +80,7 @@
 
 /// Speed of a simulated engine.
 #[derive(Clone, Copy, Debug)]
-struct Sheet {
+struct Speed {
     /// Prefill time per token, in microseconds.
     prompt_us: u64,
     /// Time to the first event, in milliseconds.
@@ -90,24 +90,24 @@
     event_tokens: u64,
 }
 
-const SMALL: Sheet = Sheet { prompt_us: 18, first_ms: 150, token_us: 5_000, event_tokens: 11 };
+const SMALL: Speed = Speed { prompt_us: 18, first_ms: 150, token_us: 5_000, event_tokens: 11 };
 
 /// Records the observations of some requests at an endpoint with such an engine. Callers' estimates
 /// are alternately too high and too low.
-fn teach(forecasts: &mut Forecasts, now: Time, endpoint: &str, sheet: Sheet) {
+fn train(forecasts: &mut Forecasts, now: Time, endpoint: &str, speed: Speed) {
     let (service, endpoint): (Arc<str>, Arc<str>) = ("drafting".into(), endpoint.into());
     for round in 0..20_u64 {
         let prompt = 3_000 + round % 4 * 1_000;
-        let read = Duration::from_micros(prompt * sheet.prompt_us);
-        let first = Duration::from_millis(sheet.first_ms);
-        let gap = Duration::from_micros(sheet.token_us * sheet.event_tokens);
-        let off = if round % 2 == 0 { 0.5_f64.exp() } else { (-0.5_f64).exp() };
-        let expected = (100.0 * sheet.event_tokens as f64 * off) as u64;
+        let prefill = Duration::from_micros(prompt * speed.prompt_us);
+        let first_event = Duration::from_millis(speed.first_ms);
+        let interval = Duration::from_micros(speed.token_us * speed.event_tokens);
+        let error = if round % 2 == 0 { 0.5_f64.exp() } else { (-0.5_f64).exp() };
+        let expected = (100.0 * speed.event_tokens as f64 * error) as u64;
         for observation in [
-            Observation::Prefill { tokens: prompt, took: read },
-            Observation::FirstEvent { prompt, took: first },
-            Observation::LocalPrefill { prompt, took: first + read * 2 },
-            Observation::Events { events: 5, span: gap * 5 },
+            Observation::Prefill { tokens: prompt, took: prefill },
+            Observation::FirstEvent { prompt, took: first_event },
+            Observation::LocalPrefill { prompt, took: first_event + prefill * 2 },
+            Observation::Events { events: 5, span: interval * 5 },
             Observation::Completed { expected, events: 100 },
         ] {
             forecasts.record(now, &service, &endpoint, 20_000, observation);
@@ -117,8 +117,8 @@
 }
 
 /// Returns forecasts learned from requests to one endpoint.
-fn learned(sheet: Sheet) -> Forecasts {
+fn learned(speed: Speed) -> Forecasts {
     let mut forecasts = Forecasts::default();
-    teach(&mut forecasts, at(0), "e-1", sheet);
+    train(&mut forecasts, at(0), "e-1", speed);
     forecasts
 }
--- a/crates/core/tests/gateway/placement.rs
+++ b/crates/core/tests/gateway/placement.rs
@@ -231,7 +231,7 @@
     };
     assert_eq!(place(&loads, 700), Some("p-1".into()));
     assert_eq!(place(&loads, 901), Some("p-2".into()));
-    // With no other endpoint idle, the stalled one is tried again.
+    // When all endpoints are stalled, they are tried again.
     assert_eq!(place(&loads, 1_800), Some("p-1".into()));
 }
 
@@ -326,7 +326,8 @@
     for replica in 0..20 {
         let name = format!("entry-{replica}");
         let view = View { replica: &name, ..view(&directory, &loads, 10) };
-        let found = view.decode("drafting", &engine(), &run_of(7_000, 0)).expect("there is room");
+        let found =
+            view.decode("drafting", &engine(), &run_of(7_000, 0)).expect("an endpoint with free memory");
         *runs_by_endpoint.entry(found.id.clone()).or_default() += 1;
     }
     // Each endpoint has memory for eight runs.
@@ -343,7 +344,8 @@
     for replica in 0..20 {
         let name = format!("entry-{replica}");
         let view = View { replica: &name, ..view(&directory, &loads, 10) };
-        let found = view.decode("drafting", &engine(), &run_of(7_000, 0)).expect("there is room");
+        let found =
+            view.decode("drafting", &engine(), &run_of(7_000, 0)).expect("an endpoint with free memory");
         assert_eq!(&*found.id, "d-2");
     }
 }
--- a/crates/core/tests/gateway/pools.rs
+++ b/crates/core/tests/gateway/pools.rs
@@ -10,7 +10,7 @@
     pools::{Order, Pools, ServiceInfo},
 };
 
-use crate::{SMALL, Sheet, at, endpoint, engine, gone, learned, row};
+use crate::{SMALL, Speed, at, endpoint, engine, gone, learned, row};
 
 fn directory(prefill: usize, decode: usize) -> Directory {
     let mut directory = Directory::default();
@@ -144,7 +144,7 @@
 fn a_short_imbalance_moves_no_endpoint() {
     let (mut pools, directory) = (Pools::default(), directory(3, 9));
     let normal = learned(SMALL);
-    let slow = learned(Sheet { prompt_us: 80, ..SMALL });
+    let slow = learned(Speed { prompt_us: 80, ..SMALL });
     for now in (0..20_000).step_by(100) {
         record_request(&mut pools, now, 5_000, 700);
         let forecasts = if (10_000..11_500).contains(&now) { &slow } else { &normal };
--- a/crates/core/tests/gateway/queue.rs
+++ b/crates/core/tests/gateway/queue.rs
@@ -84,7 +84,7 @@
 
 /// Outcome counts of a simulated burst.
 #[derive(Debug, Default)]
-struct Result {
+struct Counts {
     on_time: u32,
     late: u32,
     refused: u32,
@@ -106,12 +106,12 @@
 const SILENCE_MS: u64 = 3_600;
 
 /// Simulates a burst of 5 s at 1.3 times the capacity, within a load of 0.7 times the capacity.
-fn simulate(order: Order, seed: u64) -> Result {
+fn simulate(order: Order, seed: u64) -> Counts {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut queue = Queue::default();
     let mut arrivals: BTreeMap<u32, u64> = BTreeMap::new();
     let mut ends: Vec<u64> = Vec::new();
-    let mut result = Result::default();
+    let mut counts = Counts::default();
     for now in (0..15_000_u64).step_by(10) {
         let load = if (5_000..10_000).contains(&now) { 1.3 } else { 0.7 };
         let chance = load * SLOTS as f64 / RUN_MS as f64 * 10.0;
@@ -136,16 +136,16 @@
         });
         for (Entry { tag, .. }, verdict) in verdicts {
             match verdict {
-                Verdict::Placed(()) if now + FIRST_MS <= arrivals[&tag] + TARGET_MS => result.on_time += 1,
-                Verdict::Placed(()) => result.late += 1,
-                Verdict::Expired => result.refused += 1,
+                Verdict::Placed(()) if now + FIRST_MS <= arrivals[&tag] + TARGET_MS => counts.on_time += 1,
+                Verdict::Placed(()) => counts.late += 1,
+                Verdict::Expired => counts.refused += 1,
             }
             if matches!(verdict, Verdict::Placed(())) {
                 ends.push(now + rng.random_range(RUN_MS / 2..RUN_MS * 3 / 2));
             }
         }
     }
-    result
+    counts
 }
 
 /// Served by arrival, every request in a long burst would become late and stay late until well
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -17,7 +17,7 @@
     refusal::Code,
 };
 
-use crate::{SMALL, Sheet, at, customer, endpoint, engine, gone, route, row};
+use crate::{SMALL, Speed, at, customer, endpoint, engine, gone, route, row};
 
 fn state() -> State<u32> {
     let identity = Identity {
@@ -177,44 +177,44 @@
 /// callers in five away.
 #[test]
 fn idle_endpoints_refuse_nobody_whatever_the_engine() {
-    let sheets = [
+    let speeds = [
         SMALL,
-        Sheet { prompt_us: 2, first_ms: 15, token_us: 500, event_tokens: 1 },
-        Sheet { prompt_us: 18, first_ms: 30, token_us: 640, event_tokens: 72 },
-        Sheet { prompt_us: 180, first_ms: 400, token_us: 20_000, event_tokens: 4 },
+        Speed { prompt_us: 2, first_ms: 15, token_us: 500, event_tokens: 1 },
+        Speed { prompt_us: 18, first_ms: 30, token_us: 640, event_tokens: 72 },
+        Speed { prompt_us: 180, first_ms: 400, token_us: 20_000, event_tokens: 4 },
     ];
-    for sheet in sheets {
+    for speed in speeds {
         let mut state = serving();
-        let answer = 10_000_000 / sheet.token_us;
+        let answer = 10_000_000 / speed.token_us;
         let size = Size { prompt: 5_000, expected_output: answer, max_output: answer * 2 };
         for now in [0, 1_000] {
             let completion =
                 Completion { size, received: at(now), deadline: at(now + 14_000), ..completion(0) };
             state.line_up(at(now), completion, 1);
             let placed = state.pump(at(now));
-            let [(_, Verdict::Placed(pair))] = &placed[..] else { panic!("refused: {sheet:?}") };
+            let [(_, Verdict::Placed(pair))] = &placed[..] else { panic!("refused: {speed:?}") };
             state.ended(at(now), &pair.run.lease, Outcome::Abandoned);
             let reader = pair.reader.as_ref().expect("a reader");
             state.ended(at(now), &reader.lease, Outcome::Abandoned);
-            show(&mut state, now, sheet);
+            show(&mut state, now, speed);
         }
     }
 }
 
 /// Has an entry see some requests at its endpoints.
-fn show(state: &mut State<u32>, now: u64, sheet: Sheet) {
+fn show(state: &mut State<u32>, now: u64, speed: Speed) {
     let (reader, run) = (endpoint("p-1", Stage::Prefill), endpoint("d-1", Stage::Decode));
-    let gap = Duration::from_micros(sheet.token_us * sheet.event_tokens);
+    let gap = Duration::from_micros(speed.token_us * speed.event_tokens);
     for _ in 0..20 {
-        let took = Duration::from_micros(5_000 * sheet.prompt_us);
+        let took = Duration::from_micros(5_000 * speed.prompt_us);
         state.observed(at(now), &reader, Observation::Prefill { tokens: 5_000, took });
-        let took = Duration::from_millis(sheet.first_ms);
+        let took = Duration::from_millis(speed.first_ms);
         state.observed(at(now), &run, Observation::FirstEvent { prompt: 5_000, took });
         state.observed(at(now), &run, Observation::Events { events: 10, span: gap * 10 });
         state.observed(
             at(now),
             &run,
-            Observation::Completed { expected: 100 * sheet.event_tokens, events: 100 },
+            Observation::Completed { expected: 100 * speed.event_tokens, events: 100 },
         );
     }
     state.settle(at(now));
@@ -254,7 +254,7 @@
     let before = state.forecast("drafting");
     let listing = Listing { version: 10, whole: false, rows: vec![gone(10, "d-1")] };
     state.list(at(1_000), listing);
-    show(&mut state, 1_000, Sheet { token_us: 40_000, ..SMALL });
+    show(&mut state, 1_000, Speed { token_us: 40_000, ..SMALL });
     state.settle(at(1_100));
     let after = state.forecast("drafting");
     assert_eq!(after.event_interval, None, "{before:?}");
