--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -7,16 +7,16 @@
 use super::{
     budget::{Budget, Rule},
     catalog::{Catalog, Customer, Engine},
-    completion::{Completion, Prompt, declared},
+    completion::{Completion, Prompt, target_or_default},
     digest::{Digest, Member, Peers, Share},
     directory::{Change, Directory, Endpoint, Row, Stage},
     forecast::{Forecast, Forecasts, Observation},
     growth::Growth,
     health::Outcome,
-    line::{Line, Verdict, Waiting},
-    load::{Lease, Length, Loads},
-    placement::{Pairing, Reader, Run, Turn, View, spare},
-    pools::{Known, Order, Pools},
+    load::{Estimate, Lease, Loads},
+    placement::{Partition, Placement, Prefill, Run, View, headroom},
+    pools::{Order, Pools, ServiceInfo},
+    queue::{Entry, Queue, Verdict},
     rate_limit::{RateLimiter, Totals},
     staleness::{Staleness, Versions},
     suspect::Suspects,
@@ -100,7 +100,7 @@
 }
 
 /// A request that leaves the queue, and its outcome.
-pub type Dispatched<T> = (Waiting<T>, Verdict<Pair>);
+pub type Dispatched<T> = (Entry<T>, Verdict<Pair>);
 
 /// The state of one replica.
 #[derive(Debug)]
@@ -114,7 +114,7 @@
     rate_limiter: RateLimiter,
     budget: Budget,
     peers: Peers,
-    line: Line<T>,
+    queue: Queue<T>,
     suspects: Suspects,
     pools: Pools,
     forecasts: Forecasts,
@@ -133,7 +133,7 @@
             loads: Loads::default(),
             rate_limiter: RateLimiter::new(now),
             budget: Budget::new(retries, now),
-            line: Line::default(),
+            queue: Queue::default(),
             suspects: Suspects::default(),
             pools: Pools::default(),
             forecasts: Forecasts::default(),
@@ -183,14 +183,14 @@
             match change {
                 Change::Restarted(endpoint) => {
                     self.suspects.record_crash(now, &endpoint.id);
-                    self.pools.dropped(&endpoint.id);
+                    self.pools.cancel(&endpoint.id);
                 }
                 Change::Removed(endpoint) => {
                     self.suspects.record_crash(now, &endpoint.id);
                     self.loads.forget(&endpoint.id);
                     self.forecasts.forget(&endpoint.service, &endpoint.id);
                 }
-                Change::Updated(endpoint) => self.pools.seen(endpoint),
+                Change::Updated(endpoint) => self.pools.confirm(endpoint),
                 Change::Draining(_) | Change::Lapsed(_) => {}
             }
         }
@@ -213,11 +213,11 @@
         }
         self.staleness.record_peer(now, digest.versions);
         self.rate_limiter.apply_digest(now, digest);
-        self.loads.heard(now, digest);
+        self.loads.merge_digest(now, digest);
         self.suspects.apply_digest(digest);
-        self.forecasts.heard(&digest.name, &digest.forecasts);
+        self.forecasts.merge_peer(&digest.name, &digest.forecasts);
         for (endpoint, change) in &digest.changing {
-            self.pools.heard(now, endpoint, *change);
+            self.pools.merge_change(now, endpoint, *change);
         }
     }
 
@@ -239,13 +239,13 @@
             members,
             spent,
             left,
-            shares: self.loads.own(),
-            failure_permille: self.loads.own_failing(now),
+            shares: self.loads.local(),
+            failure_permille: self.loads.local_failure_ratios(now),
             changing: self.pools.changes(now),
             suspects: self.suspects.report(now),
             versions: self.staleness.own(),
             forecasts: if self.serial.is_multiple_of(DIGESTS_PER_FORECAST) {
-                self.forecasts.own()
+                self.forecasts.local()
             } else {
                 BTreeMap::new()
             },
@@ -263,7 +263,7 @@
             self.forecasts.forget_peer(peer);
         }
         self.rate_limiter.charge_silent_peers(now, &self.peers);
-        self.forecasts.settle();
+        self.forecasts.recompute();
         let changes = self.directory.expire_lapsed(now);
         self.apply_changes(now, &changes);
         (changes, expired)
@@ -283,7 +283,7 @@
             let message = format!("{name} has {left} tokens left, asked {asked}; rate {rate}, burst {burst}");
             return Err(Refusal::not_run(Code::OverRate, message).retry_after(wait));
         }
-        self.budget.request(now, &admission.service);
+        self.budget.record_request(now, &admission.service);
         Ok(())
     }
 
@@ -296,13 +296,13 @@
 
     /// Takes a retry from the retry budget; returns false if none is left.
     pub fn acquire_retry(&mut self, now: Time, service: &Arc<str>) -> bool {
-        self.budget.extra(now, service, self.peers.count())
+        self.budget.try_spend(now, service, self.peers.count())
     }
 
     /// Whether a service currently has separate prefill or decode endpoints.
     pub fn is_split(&self, now: Time, service: &str) -> bool {
         let view = self.view(now);
-        view.has(service, Stage::Decode) || view.has(service, Stage::Prefill)
+        view.has_stage(service, Stage::Decode) || view.has_stage(service, Stage::Prefill)
     }
 
     /// Assigns an endpoint to a whole request.
@@ -319,12 +319,13 @@
 
     /// Assigns another prefill endpoint to a prompt; `None` if none is available.
     pub fn place_prefill(&mut self, now: Time, prompt: &Prompt) -> Option<Assignment> {
-        let Prompt { service, tokens, aim, zone, avoid } = prompt;
-        let aim = declared(*aim);
-        let Reader::Endpoint(endpoint) = self.view(now).prefill(service, *tokens, aim, zone, avoid) else {
+        let Prompt { service, tokens, ttft_target, zone, avoid } = prompt;
+        let ttft_target = target_or_default(*ttft_target);
+        let Prefill::Endpoint(endpoint) = self.view(now).prefill(service, *tokens, ttft_target, zone, avoid)
+        else {
             return None;
         };
-        Some(self.assign_prefill(now, endpoint, *tokens, aim))
+        Some(self.assign_prefill(now, endpoint, *tokens, ttft_target))
     }
 
     /// Queues a completion; [`Self::dispatch`] returns it once it is placed or expired.
@@ -332,12 +333,12 @@
         let forecast = self.forecasts.service(&completion.service);
         let engine = self.engine(&completion.service);
         if let Some(engine) = &engine {
-            self.pools.note(now, &completion.service, engine, completion.size);
+            self.pools.record_request(now, &completion.service, engine, completion.size);
         }
-        let mut waiting = completion.queued(&forecast, tag);
+        let mut entry = completion.into_entry(&forecast, tag);
         // A request that needs more than an endpoint's memory runs alone, with all of it.
-        waiting.memory = waiting.memory.min(engine.map_or(u64::MAX, |engine| engine.memory));
-        self.line.push(waiting);
+        entry.memory = entry.memory.min(engine.map_or(u64::MAX, |engine| engine.memory));
+        self.queue.push(entry);
     }
 
     fn engine(&self, service: &str) -> Option<Engine> {
@@ -349,14 +350,14 @@
         if self.directory.get(&endpoint.id).is_none() {
             return;
         }
-        let memory = self.loads.get(&endpoint.id).map_or(0, |load| load.all(now).memory);
-        self.forecasts.note(now, &endpoint.service, &endpoint.id, memory, observation);
+        let memory = self.loads.get(&endpoint.id).map_or(0, |load| load.total(now).memory);
+        self.forecasts.record(now, &endpoint.service, &endpoint.id, memory, observation);
     }
 
     /// Records events that a run has produced.
     pub fn record_events(&mut self, lease: &Lease, service: &str, events: u64) {
-        let event_tokens = self.forecasts.service(service).lengths().event_tokens;
-        self.loads.made(lease, (events as f64 * event_tokens) as u64);
+        let event_tokens = self.forecasts.service(service).output_length_or_default().event_tokens;
+        self.loads.record_tokens(lease, (events as f64 * event_tokens) as u64);
     }
 
     /// Returns the forecast for a service.
@@ -371,7 +372,7 @@
 
     /// Returns the retry delay for callers that found no free memory for a service.
     pub fn memory_retry_after(&self, service: &str) -> Duration {
-        let half = self.forecasts.service(service).half_run();
+        let half = self.forecasts.service(service).half_decode_time();
         half.map_or(ENDPOINT_RETRY_AFTER, |half| half.clamp(MIN_MEMORY_RETRY_AFTER, MAX_MEMORY_RETRY_AFTER))
     }
 
@@ -383,14 +384,14 @@
         catalog.services().find_map(|service| {
             let forecast = forecasts.service(&service.name);
             let engine = service.engine.as_ref()?;
-            let known = Known { name: &service.name, engine, forecast: &forecast };
-            pools.next(now, &known, directory, loads, rank)
+            let info = ServiceInfo { name: &service.name, engine, forecast: &forecast };
+            pools.next_order(now, &info, directory, loads, rank)
         })
     }
 
     /// Records that an order was not carried out.
     pub fn cancel_order(&mut self, endpoint: &str) {
-        self.pools.dropped(endpoint);
+        self.pools.cancel(endpoint);
     }
 
     /// Places queued requests for which there is room.
@@ -398,60 +399,60 @@
         if self.catalog.is_none() {
             return Vec::new();
         }
-        let mut line = std::mem::take(&mut self.line);
-        let placed = line.pump(now, |waiting| self.place(now, waiting));
-        self.line = line;
+        let mut queue = std::mem::take(&mut self.queue);
+        let placed = queue.dispatch(now, |entry| self.place(now, entry));
+        self.queue = queue;
         placed
     }
 
     /// Assigns endpoints to a completion; `None` if it has to wait.
-    fn place(&mut self, now: Time, waiting: &Waiting<T>) -> Option<Pair> {
-        let Waiting { service, size, memory, gap, aim, avoid, .. } = waiting;
+    fn place(&mut self, now: Time, entry: &Entry<T>) -> Option<Pair> {
+        let Entry { service, size, memory, gap, ttft_target, avoid, .. } = entry;
         let engine = self.engine(service)?;
-        let spread = self.forecasts.service(service).lengths().spread;
+        let spread = self.forecasts.service(service).output_length_or_default().spread;
         let run = Run {
             prompt: size.prompt,
-            growth: Growth::of(*size, 0, spread),
-            spare: spare(&engine, waiting.is_late(now)),
+            growth: Growth::for_run(*size, 0, spread),
+            headroom: headroom(&engine, entry.is_late(now)),
             gap: *gap,
-            aim: *aim,
+            ttft_target: *ttft_target,
             avoid,
         };
-        let Pairing { endpoint, reader } = self.view(now).pair(service, &engine, &run)?;
-        let reading = if reader.is_some() { 0 } else { size.prompt };
+        let Placement { endpoint, prefill } = self.view(now).pair(service, &engine, &run)?;
+        let reading = if prefill.is_some() { 0 } else { size.prompt };
         let share = Share { running: 1, memory: *memory, reading, ..Share::default() };
-        let decode = self.assign(now, endpoint, share, Some(Length { size: *size, spread }));
-        let prefill = reader.map(|reader| self.assign_prefill(now, reader, size.prompt, *aim));
+        let decode = self.assign(now, endpoint, share, Some(Estimate { size: *size, spread }));
+        let prefill = prefill.map(|prefill| self.assign_prefill(now, prefill, size.prompt, *ttft_target));
         Some(Pair { decode, prefill })
     }
 
     /// Summarizes queue and decode pool of a service on one line, for refusals.
     pub fn describe(&self, now: Time, service: &str) -> String {
-        let waiting = self.line.len();
+        let waiting = self.queue.len();
         format!("{waiting} wait; {}", self.view(now).describe(service, Stage::Decode))
     }
 
     /// Removes queued requests whose callers are gone.
     pub fn retain_queued(&mut self, keep: impl Fn(&T) -> bool) {
-        self.line.retain(keep);
+        self.queue.retain(keep);
     }
 
     /// Returns the number of queued requests.
     pub fn queue_length(&self) -> usize {
-        self.line.len()
+        self.queue.len()
     }
 
     /// Records the beginning of an answer.
     pub fn record_answer(&mut self, now: Time, lease: &Lease) {
         let endpoint = self.directory.get(&lease.endpoint);
         let forecast = endpoint.map(|endpoint| self.forecasts.endpoint(now, &endpoint.service, &endpoint.id));
-        let pause = forecast.unwrap_or_default().event_gap() * PREFILL_PAUSE_EVENTS;
-        self.loads.answered(now, lease, pause);
+        let pause = forecast.unwrap_or_default().typical_event_interval() * PREFILL_PAUSE_EVENTS;
+        self.loads.record_first_event(now, lease, pause);
     }
 
     /// Records the end of a request at its endpoint.
     pub fn record_end(&mut self, now: Time, lease: &Lease, outcome: Outcome) {
-        self.loads.give_back(now, lease, outcome);
+        self.loads.release(now, lease, outcome);
         if outcome == Outcome::Unreachable {
             self.suspects.record_crash(now, &lease.endpoint);
         }
@@ -534,13 +535,13 @@
             pools: &self.pools,
             forecasts: &self.forecasts,
             zone: &self.identity.zone,
-            entry: &self.identity.name,
-            turn: self.turn(),
+            replica: &self.identity.name,
+            partition: self.partition(),
         }
     }
 
-    fn turn(&self) -> Turn {
-        Turn { rank: self.peers.position(), count: self.peers.count() }
+    fn partition(&self) -> Partition {
+        Partition { index: self.peers.position(), count: self.peers.count() }
     }
 
     fn assign(
@@ -548,9 +549,9 @@
         now: Time,
         endpoint: Arc<Endpoint>,
         share: Share,
-        answer: Option<Length>,
+        output: Option<Estimate>,
     ) -> Assignment {
-        let lease = self.loads.take_run(now, &endpoint.id, share, answer);
+        let lease = self.loads.acquire_run(now, &endpoint.id, share, output);
         Assignment { endpoint, lease, tokens: 0, limit: Duration::ZERO }
     }
 
@@ -559,12 +560,12 @@
         now: Time,
         endpoint: Arc<Endpoint>,
         prompt: u64,
-        aim: Duration,
+        ttft_target: Duration,
     ) -> Assignment {
-        let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.all(now).reading);
+        let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.total(now).reading);
         let forecast = self.forecasts.endpoint(now, &endpoint.service, &endpoint.id);
         let tokens = ahead + prompt;
-        let limit = forecast.reading_limit(tokens, aim);
+        let limit = forecast.prefill_timeout(tokens, ttft_target);
         let share = Share { reading: prompt, ..Share::default() };
         Assignment { tokens, limit, ..self.assign(now, endpoint, share, None) }
     }
--- a/crates/core/tests/gateway/main.rs
+++ b/crates/core/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! Decisions of the gateway, without a network.
+//! Tests of the gateway's decisions, without a network.
 
 mod budget;
 mod catalog;
@@ -7,9 +7,9 @@
 mod forecast;
 mod growth;
 mod health;
-mod line;
 mod placement;
 mod pools;
+mod queue;
 mod rate_limit;
 mod staleness;
 mod state;
@@ -26,7 +26,7 @@
     },
 };
 
-/// A moment some milliseconds after the clock's origin.
+/// Returns a time in milliseconds after the clock's origin.
 fn at(millis: u64) -> Time {
     Time::ZERO.plus(Duration::from_millis(millis))
 }
@@ -78,49 +78,47 @@
     }
 }
 
-/// How fast an engine is.
+/// Speed of a simulated engine.
 #[derive(Clone, Copy, Debug)]
-struct Sheet {
-    /// Microseconds to read a token of a prompt.
+struct Speed {
+    /// Prefill time per token, in microseconds.
     prompt_us: u64,
-    /// Milliseconds to the first event.
+    /// Time to the first event, in milliseconds.
     first_ms: u64,
-    /// Microseconds to make a token.
+    /// Decode time per token, in microseconds.
     token_us: u64,
-    /// Tokens in an event.
     event_tokens: u64,
 }
 
-/// An engine whose answers of some hundred tokens take seconds.
-const SMALL: Sheet = Sheet { prompt_us: 18, first_ms: 150, token_us: 5_000, event_tokens: 11 };
+const SMALL: Speed = Speed { prompt_us: 18, first_ms: 150, token_us: 5_000, event_tokens: 11 };
 
-/// Has `forecasts` see what some requests at an endpoint of such an engine show; estimates are off by e to
-/// the half, up and down.
-fn teach(forecasts: &mut Forecasts, now: Time, endpoint: &str, sheet: Sheet) {
+/// Records the observations of some requests at an endpoint with such an engine. Callers' estimates
+/// are alternately too high and too low.
+fn train(forecasts: &mut Forecasts, now: Time, endpoint: &str, speed: Speed) {
     let (service, endpoint): (Arc<str>, Arc<str>) = ("drafting".into(), endpoint.into());
     for round in 0..20_u64 {
         let prompt = 3_000 + round % 4 * 1_000;
-        let read = Duration::from_micros(prompt * sheet.prompt_us);
-        let first = Duration::from_millis(sheet.first_ms);
-        let gap = Duration::from_micros(sheet.token_us * sheet.event_tokens);
-        let off = if round % 2 == 0 { 0.5_f64.exp() } else { (-0.5_f64).exp() };
-        let expected = (100.0 * sheet.event_tokens as f64 * off) as u64;
+        let prefill = Duration::from_micros(prompt * speed.prompt_us);
+        let first_event = Duration::from_millis(speed.first_ms);
+        let interval = Duration::from_micros(speed.token_us * speed.event_tokens);
+        let error = if round % 2 == 0 { 0.5_f64.exp() } else { (-0.5_f64).exp() };
+        let expected = (100.0 * speed.event_tokens as f64 * error) as u64;
         for observation in [
-            Observation::Read { tokens: prompt, took: read },
-            Observation::Started { prompt, took: first },
-            Observation::ReadAndStarted { prompt, took: first + read * 2 },
-            Observation::Paced { events: 5, span: gap * 5 },
-            Observation::Ended { expected, events: 100 },
+            Observation::Prefill { tokens: prompt, took: prefill },
+            Observation::FirstEvent { prompt, took: first_event },
+            Observation::LocalPrefill { prompt, took: first_event + prefill * 2 },
+            Observation::Events { events: 5, span: interval * 5 },
+            Observation::Completed { expected, events: 100 },
         ] {
-            forecasts.note(now, &service, &endpoint, 20_000, observation);
-            forecasts.settle();
+            forecasts.record(now, &service, &endpoint, 20_000, observation);
+            forecasts.recompute();
         }
     }
 }
 
-/// What is known of a service after some requests to one engine.
-fn learned(sheet: Sheet) -> Forecasts {
+/// Returns forecasts learned from requests to one endpoint.
+fn learned(speed: Speed) -> Forecasts {
     let mut forecasts = Forecasts::default();
-    teach(&mut forecasts, at(0), "e-1", sheet);
+    train(&mut forecasts, at(0), "e-1", speed);
     forecasts
 }
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -11,13 +11,13 @@
         directory::Stage,
         forecast::{Observation, Size},
         health::Outcome,
-        line::{Verdict, Waiting},
+        queue::{Entry, Verdict},
         state::{Admission, Identity, Listing, State},
     },
     refusal::Code,
 };
 
-use crate::{SMALL, Sheet, at, customer, endpoint, engine, gone, route, row};
+use crate::{SMALL, Speed, at, customer, endpoint, engine, gone, route, row};
 
 fn state() -> State<u32> {
     let identity = Identity {
@@ -50,10 +50,10 @@
 fn completion(memory: u64) -> Completion {
     Completion {
         service: "drafting".into(),
-        size: Size { prompt: memory, expected: 0, most: 0 },
+        size: Size { prompt: memory, expected_output: 0, max_output: 0 },
         received: at(0),
-        ends: at(14_000),
-        aim: Duration::from_millis(900),
+        deadline: at(14_000),
+        ttft_target: Duration::from_millis(900),
         gap: Duration::from_millis(300),
         silence: Duration::from_millis(3_600),
         priority: 1,
@@ -79,7 +79,7 @@
     state.enqueue(at(0), completion(40_000), 2);
     let mut first = state.dispatch(at(10));
     assert_eq!(first.len(), 1);
-    let Some((Waiting { tag: 1, .. }, Verdict::Placed(pair))) = first.pop() else {
+    let Some((Entry { tag: 1, .. }, Verdict::Placed(pair))) = first.pop() else {
         panic!("the first request is not placed")
     };
     assert!(state.dispatch(at(20)).is_empty());
@@ -87,7 +87,7 @@
     state.record_end(at(30), &prefill.lease, Outcome::Abandoned);
     assert!(state.dispatch(at(35)).is_empty());
     state.record_end(at(36), &pair.decode.lease, Outcome::Abandoned);
-    assert!(matches!(&state.dispatch(at(40))[..], [(Waiting { tag: 2, .. }, Verdict::Placed(_))]));
+    assert!(matches!(&state.dispatch(at(40))[..], [(Entry { tag: 2, .. }, Verdict::Placed(_))]));
 }
 
 /// Guards against requests that wait for busy prefill endpoints while decode endpoints are free.
@@ -100,18 +100,18 @@
     let placed = state.dispatch(at(10));
     let pairs = placed.iter().filter_map(|(_, verdict)| match verdict {
         Verdict::Placed(pair) => Some(pair),
-        Verdict::Hopeless => None,
+        Verdict::Expired => None,
     });
     let pairs: Vec<_> = pairs.collect();
-    let own: Vec<_> = pairs.iter().filter(|pair| pair.prefill.is_none()).collect();
+    let local: Vec<_> = pairs.iter().filter(|pair| pair.prefill.is_none()).collect();
     // The prefill endpoint takes six prompts, the decode endpoint one; the last request waits.
-    assert_eq!((pairs.len(), own.len()), (7, 1));
-    let mut lease = own[0].decode.lease.clone();
+    assert_eq!((pairs.len(), local.len()), (7, 1));
+    let mut lease = local[0].decode.lease.clone();
     state.record_answer(at(200), &lease);
-    lease.read();
+    lease.clear_prefill();
     assert_eq!(state.dispatch(at(350)).len(), 1);
     state.record_end(at(3_000), &lease, Outcome::Abandoned);
-    assert_eq!(state.loads().get("d-1").map(|load| load.own.reading), Some(4_000));
+    assert_eq!(state.loads().get("d-1").map(|load| load.local.reading), Some(4_000));
 }
 
 /// Guards against a long prefill on a decode endpoint that stalls its other runs.
@@ -173,43 +173,44 @@
 /// speed.
 #[test]
 fn idle_endpoints_accept_requests_for_any_engine_speed() {
-    let sheets = [
+    let speeds = [
         SMALL,
-        Sheet { prompt_us: 2, first_ms: 15, token_us: 500, event_tokens: 1 },
-        Sheet { prompt_us: 18, first_ms: 30, token_us: 640, event_tokens: 72 },
-        Sheet { prompt_us: 180, first_ms: 400, token_us: 20_000, event_tokens: 4 },
+        Speed { prompt_us: 2, first_ms: 15, token_us: 500, event_tokens: 1 },
+        Speed { prompt_us: 18, first_ms: 30, token_us: 640, event_tokens: 72 },
+        Speed { prompt_us: 180, first_ms: 400, token_us: 20_000, event_tokens: 4 },
     ];
-    for sheet in sheets {
+    for speed in speeds {
         let mut state = serving();
-        let answer = 10_000_000 / sheet.token_us;
-        let size = Size { prompt: 5_000, expected: answer, most: answer * 2 };
+        let answer = 10_000_000 / speed.token_us;
+        let size = Size { prompt: 5_000, expected_output: answer, max_output: answer * 2 };
         for now in [0, 1_000] {
-            let completion = Completion { size, received: at(now), ends: at(now + 14_000), ..completion(0) };
+            let completion =
+                Completion { size, received: at(now), deadline: at(now + 14_000), ..completion(0) };
             state.enqueue(at(now), completion, 1);
             let placed = state.dispatch(at(now));
-            let [(_, Verdict::Placed(pair))] = &placed[..] else { panic!("refused: {sheet:?}") };
+            let [(_, Verdict::Placed(pair))] = &placed[..] else { panic!("refused: {speed:?}") };
             state.record_end(at(now), &pair.decode.lease, Outcome::Abandoned);
             let prefill = pair.prefill.as_ref().expect("a prefill endpoint");
             state.record_end(at(now), &prefill.lease, Outcome::Abandoned);
-            observe_requests(&mut state, now, sheet);
+            observe_requests(&mut state, now, speed);
         }
     }
 }
 
 /// Records some requests at the endpoints of a replica.
-fn observe_requests(state: &mut State<u32>, now: u64, sheet: Sheet) {
+fn observe_requests(state: &mut State<u32>, now: u64, speed: Speed) {
     let (reader, run) = (endpoint("p-1", Stage::Prefill), endpoint("d-1", Stage::Decode));
-    let gap = Duration::from_micros(sheet.token_us * sheet.event_tokens);
+    let gap = Duration::from_micros(speed.token_us * speed.event_tokens);
     for _ in 0..20 {
-        let took = Duration::from_micros(5_000 * sheet.prompt_us);
-        state.record_observation(at(now), &reader, Observation::Read { tokens: 5_000, took });
-        let took = Duration::from_millis(sheet.first_ms);
-        state.record_observation(at(now), &run, Observation::Started { prompt: 5_000, took });
-        state.record_observation(at(now), &run, Observation::Paced { events: 10, span: gap * 10 });
+        let took = Duration::from_micros(5_000 * speed.prompt_us);
+        state.record_observation(at(now), &reader, Observation::Prefill { tokens: 5_000, took });
+        let took = Duration::from_millis(speed.first_ms);
+        state.record_observation(at(now), &run, Observation::FirstEvent { prompt: 5_000, took });
+        state.record_observation(at(now), &run, Observation::Events { events: 10, span: gap * 10 });
         state.record_observation(
             at(now),
             &run,
-            Observation::Ended { expected: 100 * sheet.event_tokens, events: 100 },
+            Observation::Completed { expected: 100 * speed.event_tokens, events: 100 },
         );
     }
     state.tick(at(now));
@@ -220,9 +221,9 @@
 fn a_request_that_cannot_end_in_time_is_refused_at_once() {
     let mut state = serving();
     observe_requests(&mut state, 0, SMALL);
-    let size = Size { prompt: 5_000, expected: 12_000, most: 12_000 };
+    let size = Size { prompt: 5_000, expected_output: 12_000, max_output: 12_000 };
     state.enqueue(at(10), Completion { size, ..completion(0) }, 1);
-    assert!(matches!(&state.dispatch(at(10))[..], [(_, Verdict::Hopeless)]));
+    assert!(matches!(&state.dispatch(at(10))[..], [(_, Verdict::Expired)]));
     assert!(state.memory_retry_after("drafting") > Duration::from_millis(1_000));
 }
 
@@ -248,8 +249,8 @@
     let before = state.forecast("drafting");
     let listing = Listing { version: 10, is_complete: false, rows: vec![gone(10, "d-1")] };
     state.apply_listing(at(1_000), listing);
-    observe_requests(&mut state, 1_000, Sheet { token_us: 40_000, ..SMALL });
+    observe_requests(&mut state, 1_000, Speed { token_us: 40_000, ..SMALL });
     state.tick(at(1_100));
     let after = state.forecast("drafting");
-    assert_eq!(after.event, None, "{before:?}");
+    assert_eq!(after.event_interval, None, "{before:?}");
 }
