--- a/crates/core/src/gateway/pools.rs
+++ b/crates/core/src/gateway/pools.rs
@@ -1,10 +1,9 @@
-//! How many endpoints of a service read prompts, and how many make tokens.
+//! Split of a service's endpoints into a prefill and a decode pool.
 //!
-//! Reading keeps a processor busy, making tokens keeps memory taken, and callers' prompts and
-//! answers decide how much of each there is to do. The split that fits them is worked out from the
-//! requests seen, and endpoints are ordered from one pool to the other, one at a time. The load
-//! itself does not matter, only the ratio: a burst changes nothing, and a switch takes longer than
-//! a burst lasts.
+//! Prefill is bound by compute, decode by memory, and the sizes of prompts and outputs determine
+//! how much of each is needed. The split is computed from recent requests, and endpoints are
+//! ordered to change their pool one at a time. Only the ratio of prefill to decode work matters,
+//! not the total load, so a burst does not trigger a change.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -12,234 +11,236 @@
     catalog::Engine,
     digest::Change,
     directory::{Directory, Endpoint, Stage},
-    forecast::{Forecast, Size, memory},
+    forecast::{Forecast, Size, mean_memory},
     load::Loads,
 };
 use crate::clock::{Time, fading};
 
-/// Requests that must have been seen before their mean says something: the sizes of prompts and
-/// answers vary by half to double, so the mean of these is right to a sixth.
-const ENOUGH: f64 = 15.0;
-/// Answers that must have been seen before it is known how long they take: estimates are off by half to
-/// double, so the middle of these is right to a fifth.
-const ENOUGH_ANSWERS: f64 = 8.0;
-/// What was seen counts half after this long: longer than a burst, shorter than a shift of the
-/// traffic that is worth a switch.
+/// Number of recent requests needed to compute a split.
+const MIN_REQUESTS: f64 = 15.0;
+/// Weight of observed outputs needed to compute a split.
+const MIN_OUTPUT_WEIGHT: f64 = 8.0;
+/// Half-life of recorded requests: longer than a burst, shorter than a lasting shift of the
+/// traffic.
 const HALF_LIFE: Duration = Duration::from_secs(15);
-/// Reading gets this much more than its part: prompts wait for each other while they are read, and
-/// with a part just enough they would wait for ever; with little more, callers that come back together
-/// after a loss of power wait for the few readers for seconds.
-const HEADROOM: f64 = 1.45;
-/// Endpoints by which a pool must be off for one to be moved: half would be the nearest fit, and the
-/// rest keeps the noise of the mean from moving the same one to and fro.
-const WORTH_A_SWITCH: f64 = 0.8;
-/// An answer long enough for the time of one token.
-const TOKENS: u64 = 1_000;
-/// Part of an engine's memory that runs can take: the rest is lost at the edges.
-const USABLE: f64 = 0.9;
-/// A change that is not seen to end is forgotten after this long: the longest run, the switch, and an
-/// order that is carried out late.
-const LONGEST_CHANGE: Duration = Duration::from_secs(25);
-/// Time between two orders, so that the first shows in the list before the next is decided.
-const ORDER_PAUSE: Duration = Duration::from_millis(1_000);
-/// How long a pool must be off for one to be moved. While a burst begins or endpoints go dark, what was
-/// seen swings for a moment, and a switch made for it is undone by the next.
-const LASTING: Duration = Duration::from_secs(2);
-/// The same for one to be taken from those that make tokens: it turns away runs whose prompts have been read,
-/// and readers that went dark in a burst are back by the time it would read.
-const LASTING_TO_READ: Duration = Duration::from_secs(4);
-/// Most changes under way at once in one service.
-const MOST_CHANGES: usize = 2;
-
-/// What the requests of one service asked for, fading with time. Kept as sizes: how long they take is
-/// asked when it is decided, so that what is learned later counts for what was seen before.
+/// Factor on the computed prefill demand. Prompts queue behind each other, so a pool without spare
+/// capacity builds up a backlog.
+const PREFILL_HEADROOM: f64 = 1.45;
+/// Number of endpoints by which the split must be off before one is moved. Above one half, so that
+/// noise does not move the same endpoint back and forth.
+const MIN_IMBALANCE: f64 = 0.8;
+/// Output length for which the time per token is computed.
+const REFERENCE_TOKENS: u64 = 1_000;
+/// Fraction of an engine's memory that runs can use; the rest is lost to fragmentation.
+const USABLE_MEMORY: f64 = 0.9;
+/// When an unconfirmed change is dropped: covers the longest run, the change itself and a delayed
+/// order.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(25);
+/// Shortest time between two orders, so that the first shows in the directory before the next is
+/// decided.
+const MIN_ORDER_INTERVAL: Duration = Duration::from_millis(1_000);
+/// How long an imbalance must last before an endpoint moves to decode. Ignores short-lived swings,
+/// such as at the start of a burst or when endpoints fail.
+const TO_DECODE_DELAY: Duration = Duration::from_secs(2);
+/// The same for a move to prefill. Longer, because a decode endpoint that changes rejects runs
+/// whose prompts were already processed.
+const TO_PREFILL_DELAY: Duration = Duration::from_secs(4);
+/// Largest number of changes in progress.
+const MAX_CHANGES: usize = 2;
+
+/// Exponentially decaying demand of one service. Stored as sizes and converted to times when used,
+/// so that newer forecasts apply to older requests too.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
     requests: f64,
-    /// Tokens of prompts.
+    /// Prompt tokens.
     prompt: f64,
-    /// Parts of an endpoint that makes tokens with full memory, or with all places taken.
-    parts: f64,
-    /// The same, each times the tokens of its answer.
-    part_tokens: f64,
+    /// Fraction of a decode endpoint that each request occupies, by memory or by slots, summed.
+    endpoints: f64,
+    /// The same, weighted by the expected output tokens.
+    endpoint_tokens: f64,
     at: Time,
 }
 
 impl Demand {
-    fn fade(&mut self, now: Time) {
-        let kept = fading(now.since(self.at), HALF_LIFE);
-        self.requests *= kept;
-        self.prompt *= kept;
-        self.parts *= kept;
-        self.part_tokens *= kept;
+    fn decay(&mut self, now: Time) {
+        let factor = fading(now.since(self.at), HALF_LIFE);
+        self.requests *= factor;
+        self.prompt *= factor;
+        self.endpoints *= factor;
+        self.endpoint_tokens *= factor;
         self.at = now;
     }
 
-    /// Part of the endpoints that should read prompts; nothing while it is not known how long things take.
-    fn reading_part(&self, engine: &Engine, forecast: &Forecast) -> Option<f64> {
-        forecast.answer.filter(|answer| answer.weight >= ENOUGH_ANSWERS && forecast.knows_runs())?;
+    /// Returns the fraction of endpoints needed for prefill, or `None` while forecasts lack data.
+    fn prefill_fraction(&self, engine: &Engine, forecast: &Forecast) -> Option<f64> {
+        forecast
+            .output_length
+            .filter(|output| output.weight >= MIN_OUTPUT_WEIGHT && forecast.has_decode_data())?;
         let mean_prompt = (self.prompt / self.requests) as u64;
-        let reading = forecast.reading?.at(mean_prompt).as_secs_f64() * self.requests * HEADROOM;
-        let full = (engine.memory as f64 * USABLE) as u64;
-        let token = forecast.run_time_beside(TOKENS, full).as_secs_f64() / TOKENS as f64;
-        let first = forecast.first_event(mean_prompt).as_secs_f64();
-        let making = first * self.parts + token * self.part_tokens;
-        Some(reading / (reading + making).max(f64::MIN_POSITIVE))
+        let prefill = forecast.prefill?.at(mean_prompt).as_secs_f64() * self.requests * PREFILL_HEADROOM;
+        let full_memory = (engine.memory as f64 * USABLE_MEMORY) as u64;
+        let decode_token =
+            forecast.decode_time_at(REFERENCE_TOKENS, full_memory).as_secs_f64() / REFERENCE_TOKENS as f64;
+        let first_event = forecast.first_event_time(mean_prompt).as_secs_f64();
+        let decode = first_event * self.endpoints + decode_token * self.endpoint_tokens;
+        Some(prefill / (prefill + decode).max(f64::MIN_POSITIVE))
     }
 }
 
-/// An endpoint that is to change its pool.
+/// Order for an endpoint to change its stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The endpoint.
+    /// The endpoint to change.
     pub endpoint: Arc<Endpoint>,
-    /// Its new stage.
+    /// The new stage.
     pub stage: Stage,
 }
 
-/// A service as it is known when its split is decided.
+/// Inputs about a service for computing its split.
 #[derive(Clone, Copy, Debug)]
-pub struct Known<'a> {
-    /// Its name.
+pub struct ServiceInfo<'a> {
+    /// Name of the service.
     pub name: &'a Arc<str>,
-    /// The size of its engines.
+    /// Size of its engines.
     pub engine: &'a Engine,
-    /// How long things take there.
+    /// Forecast of its prefill and decode times.
     pub forecast: &'a Forecast,
 }
 
-/// The split of each service, and the changes under way.
+/// Demand of all services, and the stage changes in progress.
 #[derive(Clone, Debug, Default)]
 pub struct Pools {
     demand: BTreeMap<Arc<str>, Demand>,
-    /// Until when an endpoint is left alone while it changes, and what it changes to.
+    /// Changes ordered by this replica, with their timeout and the new stage.
     changing: BTreeMap<Arc<str>, (Time, Stage)>,
-    /// The same as others told it.
-    told: BTreeMap<Arc<str>, (Time, Stage)>,
-    ordered: Option<Time>,
-    /// Since when a service has too many readers, or too few.
-    off: BTreeMap<Arc<str>, (Time, Stage)>,
+    /// Changes ordered by other replicas, likewise.
+    peer_changing: BTreeMap<Arc<str>, (Time, Stage)>,
+    last_order: Option<Time>,
+    /// Since when a service has too many endpoints of a stage, and which stage.
+    imbalanced: BTreeMap<Arc<str>, (Time, Stage)>,
 }
 
 impl Pools {
-    /// Counts a request.
-    pub fn note(&mut self, now: Time, service: &Arc<str>, engine: &Engine, size: Size) {
-        let Size { prompt, expected, .. } = size;
+    /// Records a request.
+    pub fn record_request(&mut self, now: Time, service: &Arc<str>, engine: &Engine, size: Size) {
+        let Size { prompt, expected_output, .. } = size;
         let demand = self.demand.entry(service.clone()).or_default();
-        demand.fade(now);
-        let runs = engine.memory as f64 * USABLE / memory(prompt, expected).max(1) as f64;
-        let part = 1.0 / runs.clamp(1.0, f64::from(engine.slots.max(1)));
+        demand.decay(now);
+        let runs = engine.memory as f64 * USABLE_MEMORY / mean_memory(prompt, expected_output).max(1) as f64;
+        let endpoints = 1.0 / runs.clamp(1.0, f64::from(engine.slots.max(1)));
         demand.requests += 1.0;
         demand.prompt += prompt as f64;
-        demand.parts += part;
-        demand.part_tokens += part * expected as f64;
+        demand.endpoints += endpoints;
+        demand.endpoint_tokens += endpoints * expected_output as f64;
     }
 
-    /// How many of `count` endpoints should read prompts, as a fraction too; nothing while too little
-    /// was seen.
-    pub fn readers(&mut self, now: Time, service: &Known<'_>, count: usize) -> Option<f64> {
-        let Known { name, engine, forecast } = service;
+    /// Returns how many of `count` endpoints prefill needs, as a fractional number. `None` without
+    /// enough data.
+    pub fn prefill_target(&mut self, now: Time, service: &ServiceInfo<'_>, count: usize) -> Option<f64> {
+        let ServiceInfo { name, engine, forecast } = service;
         let demand = self.demand.get_mut(*name)?;
-        demand.fade(now);
-        if demand.requests < ENOUGH || count < 2 {
+        demand.decay(now);
+        if demand.requests < MIN_REQUESTS || count < 2 {
             return None;
         }
-        let part = demand.reading_part(engine, forecast)?;
-        Some((count as f64 * part).clamp(1.0, count as f64 - 1.0))
+        let fraction = demand.prefill_fraction(engine, forecast)?;
+        Some((count as f64 * fraction).clamp(1.0, count as f64 - 1.0))
     }
 
-    /// Whether an endpoint is in the middle of a change and takes no work.
+    /// Returns whether an endpoint is changing its stage and must get no work.
     pub fn is_changing(&self, now: Time, endpoint: &str) -> bool {
         self.changing.get(endpoint).is_some_and(|(until, _)| *until > now)
-            || self.told.get(endpoint).is_some_and(|(until, _)| *until > now)
+            || self.peer_changing.get(endpoint).is_some_and(|(until, _)| *until > now)
     }
 
-    /// The changes that this entry has ordered.
+    /// Returns the changes that this replica has ordered, to report to the others.
     pub fn changes(&self, now: Time) -> BTreeMap<Arc<str>, Change> {
-        let open = self.changing.iter().filter(|(_, (until, _))| *until > now);
-        let told = open.map(|(endpoint, (until, stage))| {
+        let pending = self.changing.iter().filter(|(_, (until, _))| *until > now);
+        let changes = pending.map(|(endpoint, (until, stage))| {
             (endpoint.clone(), Change { stage: *stage, left: until.since(now) })
         });
-        told.collect()
+        changes.collect()
     }
 
-    /// Takes a change that another entry has ordered.
-    pub fn heard(&mut self, now: Time, endpoint: &Arc<str>, change: Change) {
-        let until = now.plus(change.left.min(LONGEST_CHANGE));
-        self.told.insert(endpoint.clone(), (until, change.stage));
+    /// Records a change that another replica has ordered.
+    pub fn merge_change(&mut self, now: Time, endpoint: &Arc<str>, change: Change) {
+        let until = now.plus(change.left.min(CHANGE_TIMEOUT));
+        self.peer_changing.insert(endpoint.clone(), (until, change.stage));
     }
 
-    /// An endpoint shows its stage in the list: a change to it is over.
-    pub fn seen(&mut self, endpoint: &Endpoint) {
+    /// Completes a change once the directory lists the endpoint with its new stage.
+    pub fn confirm(&mut self, endpoint: &Endpoint) {
         if self.changing.get(&endpoint.id).is_some_and(|(_, stage)| *stage == endpoint.stage) {
             self.changing.remove(&endpoint.id);
         }
-        if self.told.get(&endpoint.id).is_some_and(|(_, stage)| *stage == endpoint.stage) {
-            self.told.remove(&endpoint.id);
+        if self.peer_changing.get(&endpoint.id).is_some_and(|(_, stage)| *stage == endpoint.stage) {
+            self.peer_changing.remove(&endpoint.id);
         }
     }
 
-    /// An order was refused or cannot be given: the endpoint stays as it is.
-    pub fn dropped(&mut self, endpoint: &str) {
+    /// Drops a change whose order was rejected or could not be sent.
+    pub fn cancel(&mut self, endpoint: &str) {
         self.changing.remove(endpoint);
     }
 
-    /// The next change that the split of a service calls for. `rank` counts the entries that go
-    /// before this one: only the first decides. Each sees other requests, and if any of them might
-    /// order, the one that is furthest off would.
-    pub fn next(
+    /// Returns the next change that the split of a service requires. `rank` is the number of
+    /// replicas with precedence over this one. Only the first replica decides: each sees other
+    /// requests, so otherwise the one with the least accurate estimate would act.
+    pub fn next_order(
         &mut self,
         now: Time,
-        service: &Known<'_>,
+        service: &ServiceInfo<'_>,
         directory: &Directory,
         loads: &Loads,
         rank: u32,
     ) -> Option<Order> {
         let name = service.name;
         self.changing.retain(|_, (until, _)| *until > now);
-        self.told.retain(|_, (until, _)| *until > now);
-        let engines: Vec<&Arc<Endpoint>> =
+        self.peer_changing.retain(|_, (until, _)| *until > now);
+        let endpoints: Vec<&Arc<Endpoint>> =
             directory.serving(name).filter(|endpoint| endpoint.stage != Stage::Whole).collect();
-        let wanted = self.readers(now, service, engines.len())?;
-        let readers = engines.iter().filter(|endpoint| self.stage(endpoint) == Stage::Prefill).count();
-        let excess = readers as f64 - wanted;
-        if excess.abs() < WORTH_A_SWITCH {
-            self.off.remove(name);
+        let target = self.prefill_target(now, service, endpoints.len())?;
+        let prefilling =
+            endpoints.iter().filter(|endpoint| self.target_stage(endpoint) == Stage::Prefill).count();
+        let excess = prefilling as f64 - target;
+        if excess.abs() < MIN_IMBALANCE {
+            self.imbalanced.remove(name);
             return None;
         }
         let (from, to) =
             if excess > 0.0 { (Stage::Prefill, Stage::Decode) } else { (Stage::Decode, Stage::Prefill) };
-        let off = self.off.entry(name.clone()).or_insert((now, from));
-        if off.1 != from {
-            *off = (now, from);
+        let imbalance = self.imbalanced.entry(name.clone()).or_insert((now, from));
+        if imbalance.1 != from {
+            *imbalance = (now, from);
         }
-        let lasting = if to == Stage::Prefill { LASTING_TO_READ } else { LASTING };
-        if rank > 0 || now.since(off.0) < lasting {
+        let delay = if to == Stage::Prefill { TO_PREFILL_DELAY } else { TO_DECODE_DELAY };
+        if rank > 0 || now.since(imbalance.0) < delay {
             return None;
         }
-        let is_due = self.ordered.is_none_or(|at| now.since(at) >= ORDER_PAUSE);
-        if !is_due || self.changing.len() + self.told.len() >= MOST_CHANGES {
+        let is_due = self.last_order.is_none_or(|at| now.since(at) >= MIN_ORDER_INTERVAL);
+        if !is_due || self.changing.len() + self.peer_changing.len() >= MAX_CHANGES {
             return None;
         }
-        let movable = engines.into_iter().filter(|endpoint| endpoint.stage == from);
-        let idle = movable.filter(|endpoint| !self.is_changing(now, &endpoint.id));
-        let endpoint = idle.min_by_key(|endpoint| busy(now, loads, endpoint))?.clone();
-        self.ordered = Some(now);
-        self.changing.insert(endpoint.id.clone(), (now.plus(LONGEST_CHANGE), to));
+        let candidates = endpoints.into_iter().filter(|endpoint| endpoint.stage == from);
+        let idle = candidates.filter(|endpoint| !self.is_changing(now, &endpoint.id));
+        let endpoint = idle.min_by_key(|endpoint| pending_work(now, loads, endpoint))?.clone();
+        self.last_order = Some(now);
+        self.changing.insert(endpoint.id.clone(), (now.plus(CHANGE_TIMEOUT), to));
         Some(Order { endpoint, stage: to })
     }
 
-    /// The stage that an endpoint has, or will have.
-    fn stage(&self, endpoint: &Endpoint) -> Stage {
-        let change = self.changing.get(&endpoint.id).or_else(|| self.told.get(&endpoint.id));
+    /// Returns the stage of an endpoint after any change in progress.
+    fn target_stage(&self, endpoint: &Endpoint) -> Stage {
+        let change = self.changing.get(&endpoint.id).or_else(|| self.peer_changing.get(&endpoint.id));
         change.map_or(endpoint.stage, |(_, stage)| *stage)
     }
 }
 
-/// What an endpoint has to finish before it can change.
-fn busy(now: Time, loads: &Loads, endpoint: &Endpoint) -> u64 {
+/// Returns the tokens that an endpoint must finish before it can change.
+fn pending_work(now: Time, loads: &Loads, endpoint: &Endpoint) -> u64 {
     loads.get(&endpoint.id).map_or(0, |load| {
-        let all = load.all(now);
-        all.reading + all.memory
+        let total = load.total(now);
+        total.reading + total.memory
     })
 }
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -11,13 +11,13 @@
         directory::Stage,
         forecast::{Observation, Size},
         health::Outcome,
-        line::{Verdict, Waiting},
+        queue::{Entry, Verdict},
         state::{Admission, Identity, Listing, State},
     },
     refusal::Code,
 };
 
-use crate::{SMALL, Sheet, at, customer, endpoint, engine, gone, route, row};
+use crate::{SMALL, Speed, at, customer, endpoint, engine, gone, route, row};
 
 fn state() -> State<u32> {
     let identity = Identity {
@@ -50,10 +50,10 @@
 fn completion(memory: u64) -> Completion {
     Completion {
         service: "drafting".into(),
-        size: Size { prompt: memory, expected: 0, most: 0 },
+        size: Size { prompt: memory, expected_output: 0, max_output: 0 },
         received: at(0),
-        ends: at(14_000),
-        aim: Duration::from_millis(900),
+        deadline: at(14_000),
+        ttft_target: Duration::from_millis(900),
         gap: Duration::from_millis(300),
         silence: Duration::from_millis(3_600),
         priority: 1,
@@ -80,7 +80,7 @@
     state.line_up(at(0), completion(40_000), 2);
     let mut first = state.pump(at(10));
     assert_eq!(first.len(), 1);
-    let Some((Waiting { tag: 1, .. }, Verdict::Placed(place))) = first.pop() else {
+    let Some((Entry { tag: 1, .. }, Verdict::Placed(place))) = first.pop() else {
         panic!("the first is placed")
     };
     assert!(state.pump(at(20)).is_empty());
@@ -88,7 +88,7 @@
     state.ended(at(30), &reader.lease, Outcome::Abandoned);
     assert!(state.pump(at(35)).is_empty());
     state.ended(at(36), &place.run.lease, Outcome::Abandoned);
-    assert!(matches!(&state.pump(at(40))[..], [(Waiting { tag: 2, .. }, Verdict::Placed(_))]));
+    assert!(matches!(&state.pump(at(40))[..], [(Entry { tag: 2, .. }, Verdict::Placed(_))]));
 }
 
 /// A burst keeps the only reader busy for half a second, and callers wait for it and come out late,
@@ -102,7 +102,7 @@
     let placed = state.pump(at(10));
     let pairs = placed.iter().filter_map(|(_, verdict)| match verdict {
         Verdict::Placed(pair) => Some(pair),
-        Verdict::Hopeless => None,
+        Verdict::Expired => None,
     });
     let pairs: Vec<_> = pairs.collect();
     let own: Vec<_> = pairs.iter().filter(|pair| pair.reader.is_none()).collect();
@@ -110,10 +110,10 @@
     assert_eq!((pairs.len(), own.len()), (7, 1));
     let mut lease = own[0].run.lease.clone();
     state.answered(at(200), &lease);
-    lease.read();
+    lease.clear_prefill();
     assert_eq!(state.pump(at(350)).len(), 1);
     state.ended(at(3_000), &lease, Outcome::Abandoned);
-    assert_eq!(state.loads().get("d-1").map(|load| load.own.reading), Some(4_000));
+    assert_eq!(state.loads().get("d-1").map(|load| load.local.reading), Some(4_000));
 }
 
 /// A long prompt that a decode endpoint read itself would hold up its ten other runs for longer than
@@ -177,40 +177,45 @@
 /// callers in five away.
 #[test]
 fn idle_endpoints_refuse_nobody_whatever_the_engine() {
-    let sheets = [
+    let speeds = [
         SMALL,
-        Sheet { prompt_us: 2, first_ms: 15, token_us: 500, event_tokens: 1 },
-        Sheet { prompt_us: 18, first_ms: 30, token_us: 640, event_tokens: 72 },
-        Sheet { prompt_us: 180, first_ms: 400, token_us: 20_000, event_tokens: 4 },
+        Speed { prompt_us: 2, first_ms: 15, token_us: 500, event_tokens: 1 },
+        Speed { prompt_us: 18, first_ms: 30, token_us: 640, event_tokens: 72 },
+        Speed { prompt_us: 180, first_ms: 400, token_us: 20_000, event_tokens: 4 },
     ];
-    for sheet in sheets {
+    for speed in speeds {
         let mut state = serving();
-        let answer = 10_000_000 / sheet.token_us;
-        let size = Size { prompt: 5_000, expected: answer, most: answer * 2 };
+        let answer = 10_000_000 / speed.token_us;
+        let size = Size { prompt: 5_000, expected_output: answer, max_output: answer * 2 };
         for now in [0, 1_000] {
-            let completion = Completion { size, received: at(now), ends: at(now + 14_000), ..completion(0) };
+            let completion =
+                Completion { size, received: at(now), deadline: at(now + 14_000), ..completion(0) };
             state.line_up(at(now), completion, 1);
             let placed = state.pump(at(now));
-            let [(_, Verdict::Placed(pair))] = &placed[..] else { panic!("refused: {sheet:?}") };
+            let [(_, Verdict::Placed(pair))] = &placed[..] else { panic!("refused: {speed:?}") };
             state.ended(at(now), &pair.run.lease, Outcome::Abandoned);
             let reader = pair.reader.as_ref().expect("a reader");
             state.ended(at(now), &reader.lease, Outcome::Abandoned);
-            show(&mut state, now, sheet);
+            show(&mut state, now, speed);
         }
     }
 }
 
 /// Has an entry see some requests at its endpoints.
-fn show(state: &mut State<u32>, now: u64, sheet: Sheet) {
+fn show(state: &mut State<u32>, now: u64, speed: Speed) {
     let (reader, run) = (endpoint("p-1", Stage::Prefill), endpoint("d-1", Stage::Decode));
-    let gap = Duration::from_micros(sheet.token_us * sheet.event_tokens);
+    let gap = Duration::from_micros(speed.token_us * speed.event_tokens);
     for _ in 0..20 {
-        let took = Duration::from_micros(5_000 * sheet.prompt_us);
-        state.observed(at(now), &reader, Observation::Read { tokens: 5_000, took });
-        let took = Duration::from_millis(sheet.first_ms);
-        state.observed(at(now), &run, Observation::Started { prompt: 5_000, took });
-        state.observed(at(now), &run, Observation::Paced { events: 10, span: gap * 10 });
-        state.observed(at(now), &run, Observation::Ended { expected: 100 * sheet.event_tokens, events: 100 });
+        let took = Duration::from_micros(5_000 * speed.prompt_us);
+        state.observed(at(now), &reader, Observation::Prefill { tokens: 5_000, took });
+        let took = Duration::from_millis(speed.first_ms);
+        state.observed(at(now), &run, Observation::FirstEvent { prompt: 5_000, took });
+        state.observed(at(now), &run, Observation::Events { events: 10, span: gap * 10 });
+        state.observed(
+            at(now),
+            &run,
+            Observation::Completed { expected: 100 * speed.event_tokens, events: 100 },
+        );
     }
     state.settle(at(now));
 }
@@ -221,9 +226,9 @@
 fn what_cannot_end_in_time_is_refused_at_once() {
     let mut state = serving();
     show(&mut state, 0, SMALL);
-    let size = Size { prompt: 5_000, expected: 12_000, most: 12_000 };
+    let size = Size { prompt: 5_000, expected_output: 12_000, max_output: 12_000 };
     state.line_up(at(10), Completion { size, ..completion(0) }, 1);
-    assert!(matches!(&state.pump(at(10))[..], [(_, Verdict::Hopeless)]));
+    assert!(matches!(&state.pump(at(10))[..], [(_, Verdict::Expired)]));
     assert!(state.memory_free_after("drafting") > Duration::from_millis(1_000));
 }
 
@@ -249,8 +254,8 @@
     let before = state.forecast("drafting");
     let listing = Listing { version: 10, whole: false, rows: vec![gone(10, "d-1")] };
     state.list(at(1_000), listing);
-    show(&mut state, 1_000, Sheet { token_us: 40_000, ..SMALL });
+    show(&mut state, 1_000, Speed { token_us: 40_000, ..SMALL });
     state.settle(at(1_100));
     let after = state.forecast("drafting");
-    assert_eq!(after.event, None, "{before:?}");
+    assert_eq!(after.event_interval, None, "{before:?}");
 }
