--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -41,14 +41,14 @@
             peer: settings.peer,
             incarnation: rand::random(),
             retries: settings.retries,
-            linger: LINGER,
+            drain_delay: LINGER,
             grace: settings.grace.saturating_sub(END),
         };
         let claims = Box::new(Claims::new(common.table));
         let edge = Store { updates: received, claims };
         let started = Gateway::start(gateway, clock, Arc::new(Dialect), edge, &registry).await;
         let gateway = started.map_err(StartError::Gateway)?;
-        let own = Member { name: common.name.clone(), address: gateway.peer() };
+        let own = Member { name: common.name.clone(), address: gateway.peer_address() };
         store::follow(common.table, own, updates);
         let server = Server::bind(&common.admin.to_string(), Limits::default()).await;
         let server = server.map_err(|error| StartError::Listen {
@@ -77,7 +77,7 @@
 
     /// Where other entries reach it.
     pub fn peer(&self) -> SocketAddr {
-        self.gateway.peer()
+        self.gateway.peer_address()
     }
 
     /// Ends at once, as a crash would.
@@ -128,7 +128,7 @@
     if inbound.path == "/state" {
         return Outbound::json(200, &admin.view.dump().await);
     }
-    admin.view.observe().await;
+    admin.view.update_metrics().await;
     admin.dropped.set(i64::try_from(logging::dropped()).unwrap_or(i64::MAX));
     admin::common(&inbound, &admin.registry, is_ready).unwrap_or_else(|| admin::not_found(&inbound))
 }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     control::Control,
-    edge::{Call, Dialect, Message, Passage, Task},
+    edge::{Dialect, Dispatch, Message, Metadata, Task},
     exchange::{Exchange, Failure, Sender},
     metrics::Metrics,
     pool::Pool,
@@ -77,7 +77,7 @@
 pub(crate) struct Inbound {
     pub(crate) head: Request,
     pub(crate) body: Bytes,
-    pub(crate) call: Call,
+    pub(crate) metadata: Metadata,
     pub(crate) route: Arc<Route>,
     pub(crate) admission: Admission,
     /// When it had been read.
@@ -94,14 +94,14 @@
     pub(crate) fn new(
         head: Request,
         body: Bytes,
-        call: Call,
+        metadata: Metadata,
         route: Arc<Route>,
         admission: Admission,
         received: Time,
     ) -> Self {
-        let patience = call.patience.map_or(route.timeout, |patience| patience.min(route.timeout));
-        let ends = received.plus(patience);
-        Self { head, body, call, route, admission, received, ends, runs: AtomicU32::new(0) }
+        let timeout = metadata.timeout.map_or(route.timeout, |timeout| timeout.min(route.timeout));
+        let ends = received.plus(timeout);
+        Self { head, body, metadata, route, admission, received, ends, runs: AtomicU32::new(0) }
     }
 
     /// The service that serves it.
@@ -110,12 +110,12 @@
     }
 
     pub(crate) fn id(&self) -> &str {
-        self.call.id.as_deref().unwrap_or("-")
+        self.metadata.id.as_deref().unwrap_or("-")
     }
 
     /// The size of a completion; zero for a plain call.
     pub(crate) fn size(&self) -> Size {
-        let tokens = self.call.tokens.unwrap_or_default();
+        let tokens = self.metadata.tokens.unwrap_or_default();
         Size { prompt: tokens.prompt, expected: tokens.expected_output(), most: tokens.output }
     }
 
@@ -138,10 +138,10 @@
         limit: Duration,
     ) -> Result<Exchange<'a>, Failure> {
         let left = self.ends.since(context.clock.now());
-        let passage =
-            Passage { endpoint, customer: self.customer_name(), left, priority: self.priority(), task };
-        let head = context.dialect.pass(&self.head, &passage);
-        let id = self.call.id.as_deref();
+        let dispatch =
+            Dispatch { endpoint, customer: self.customer_name(), left, priority: self.priority(), task };
+        let head = context.dialect.encode_request(&self.head, &dispatch);
+        let id = self.metadata.id.as_deref();
         context.sender().send(endpoint, &head, &self.body, id, limit.min(left)).await
     }
 
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -219,18 +219,18 @@
         match update {
             Update::Catalog { order, catalog, source } => self.adopt(now, order, catalog, source),
             Update::Listing(listing) => log_changes(&self.state.list(now, listing)),
-            Update::ToldListing { listing, newest } => {
+            Update::PeerListing { listing, newest } => {
                 log_changes(&self.state.told(now, listing, newest));
             }
             Update::Member(member) => {
                 spdlog::info!("entry named", kv: { peer = &*member.name, address = member.address.to_string().as_str() });
                 self.state.member(now, member);
             }
-            Update::Lost { what, reason } => {
+            Update::StoreLost { what, reason } => {
                 spdlog::warn!("store lost", kv: { what, reason = reason.as_str() });
                 self.state.store_lost();
             }
-            Update::Regained { what } => spdlog::info!("store regained", kv: { what }),
+            Update::StoreRecovered { what } => spdlog::info!("store regained", kv: { what }),
         }
         if self.state.is_informed() {
             self.uninformed = None;
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -1,5 +1,5 @@
-//! The edges of the process: how callers and endpoints spell what the gateway works with, and what
-//! the store tells it.
+//! Interfaces between the gateway and its surroundings: the encoding of requests and responses towards
+//! callers and endpoints, and access to the store.
 
 use std::{net::SocketAddr, pin::Pin, sync::Arc, time::Duration};
 
@@ -15,217 +15,219 @@
 };
 use tarragonhill_h1::head::{Request, Response};
 
-/// What a caller says of its request.
+/// Metadata that a caller sends with its request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Call {
-    /// Names this attempt of the caller.
+pub struct Metadata {
+    /// Request id, unique to this attempt of the caller.
     pub id: Option<Arc<str>>,
-    /// How long the caller waits.
-    pub patience: Option<Duration>,
-    /// The key it shows.
+    /// How long the caller waits for the response.
+    pub timeout: Option<Duration>,
+    /// API key.
     pub key: Option<Arc<str>>,
-    /// What a completion needs; `None` on plain calls.
+    /// Token counts of a completion; `None` for other requests.
     pub tokens: Option<Tokens>,
 }
 
-/// The size of a completion, tokens.
+/// Token counts of a completion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tokens {
-    /// In the prompt.
+    /// Prompt tokens.
     pub prompt: u64,
-    /// In the longest answer.
+    /// Maximum output tokens.
     pub output: u64,
-    /// In the answer, by the caller's estimate.
+    /// Output tokens that the caller expects, if it gave an estimate.
     pub expected: Option<u64>,
 }
 
 impl Tokens {
-    /// Tokens that the answer is expected to have.
+    /// Returns the expected output tokens, at most `output`.
     pub fn expected_output(&self) -> u64 {
         self.expected.unwrap_or(self.output).min(self.output)
     }
 }
 
-/// How a request is sent to an endpoint.
+/// Parameters of a request that is sent to an endpoint.
 #[derive(Clone, Debug)]
-pub struct Passage<'a> {
-    /// The endpoint meant; any other must refuse.
+pub struct Dispatch<'a> {
+    /// Intended endpoint; any other endpoint must refuse the request.
     pub endpoint: &'a Endpoint,
-    /// The customer who calls.
+    /// Customer that made the request.
     pub customer: Option<&'a str>,
-    /// Time left for the answer.
+    /// Time left until the deadline.
     pub left: Duration,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// What is asked of the endpoint.
+    /// Work for the endpoint.
     pub task: Task<'a>,
 }
 
-/// What is asked of an endpoint.
+/// Work that an endpoint does for a request.
 #[derive(Clone, Copy, Debug)]
 pub enum Task<'a> {
-    /// The whole request.
+    /// Handle the whole request.
     Whole,
-    /// To read the prompt and keep the result.
+    /// Prefill the prompt and keep its KV cache.
     Prefill,
-    /// To make tokens.
+    /// Generate tokens.
     Decode(Decode<'a>),
 }
 
-/// What a decode may use.
+/// Inputs of a decode.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Decode<'a> {
-    /// Where the prompt's result is kept, and its name there; without it the endpoint reads itself.
+    /// Address of the prefill endpoint and name of the prefill result there. If `None`, the decode
+    /// endpoint prefills the prompt itself.
     pub source: Option<(SocketAddr, &'a str)>,
-    /// The reservation made for it.
-    pub hold: Option<&'a str>,
-    /// The last event that the caller has; the run goes on behind it.
-    pub after: Option<&'a str>,
+    /// Name of the memory reservation.
+    pub reservation: Option<&'a str>,
+    /// Id of the last event that the caller received; the stream resumes after it.
+    pub last_event: Option<&'a str>,
 }
 
-/// What an endpoint says in the head of its answer.
+/// Fields of an endpoint's response head that the gateway interprets.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
-    /// The request that it answers.
+    /// Id of the request that the response belongs to.
     pub id: Option<String>,
-    /// The endpoint that answers, if it says.
+    /// Id of the responding endpoint.
     pub instance: Option<String>,
-    /// Whether the endpoint has signed it.
-    pub signed: bool,
-    /// Whether it says that the request has not run and will not.
+    /// Whether the endpoint signed the response.
+    pub is_signed: bool,
+    /// Whether the endpoint states that the request has not run and will not run.
     pub not_run: bool,
-    /// Whether the body has been encoded by somebody on the way.
-    pub encoded: bool,
-    /// How long the endpoint keeps the connection open while it is idle.
+    /// Whether the body has a content encoding; endpoints never add one, so an intermediary did.
+    pub is_encoded: bool,
+    /// How long the endpoint keeps an idle connection open.
     pub keep_alive: Option<Duration>,
 }
 
-/// A message to an endpoint of the gateway's own.
+/// Request that the gateway itself sends to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Its head, without framing.
+    /// Request head, without framing fields.
     pub head: Request,
-    /// Its body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
-/// How heads and the gateway's own messages are spelled.
+/// Encoding of requests and responses towards callers and endpoints.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads a configuration as the store holds it; an error says what is wrong with it.
-    fn catalog(&self, source: &[u8]) -> Result<Catalog, String>;
+    /// Decodes a configuration from the form in which the store holds it.
+    fn decode_catalog(&self, source: &[u8]) -> Result<Catalog, String>;
 
-    /// Reads what a caller says of its request.
-    fn call(&self, request: &Request) -> Call;
+    /// Decodes the metadata of a caller's request.
+    fn decode_metadata(&self, request: &Request) -> Metadata;
 
-    /// The head that goes to an endpoint: the caller's, without what is the gateway's to say.
-    fn pass(&self, request: &Request, passage: &Passage<'_>) -> Request;
+    /// Encodes the request head for an endpoint. Fields reserved for the gateway are removed from the
+    /// caller's head.
+    fn encode_request(&self, request: &Request, dispatch: &Dispatch<'_>) -> Request;
 
-    /// Reads the head of an endpoint's answer.
-    fn reply(&self, response: &Response) -> Reply;
+    /// Decodes the head of an endpoint's response.
+    fn decode_reply(&self, response: &Response) -> Reply;
 
-    /// The answer that tells a caller of a refusal, without framing.
-    fn refuse(&self, refusal: &Refusal, id: Option<&str>) -> (Response, Vec<u8>);
+    /// Encodes a refusal as a response, without framing fields.
+    fn encode_refusal(&self, refusal: &Refusal, id: Option<&str>) -> (Response, Vec<u8>);
 
-    /// Asks an endpoint to reserve a place with memory for `tokens`, for `ttl` at most.
-    fn hold(&self, endpoint: &Endpoint, tokens: u64, ttl: Duration) -> Message;
+    /// Builds the request that reserves memory for `tokens` at an endpoint, for at most `ttl`.
+    fn reserve(&self, endpoint: &Endpoint, tokens: u64, ttl: Duration) -> Message;
 
-    /// The name of a reservation that was granted.
-    fn held(&self, body: &[u8]) -> Option<Arc<str>>;
+    /// Decodes the name of a granted reservation.
+    fn decode_reservation(&self, body: &[u8]) -> Option<Arc<str>>;
 
-    /// Gives a reservation back.
-    fn release_hold(&self, endpoint: &Endpoint, hold: &str) -> Message;
+    /// Builds the request that releases a reservation.
+    fn release_reservation(&self, endpoint: &Endpoint, reservation: &str) -> Message;
 
-    /// The name under which a prompt's result is kept.
-    fn prefilled(&self, body: &[u8]) -> Option<Arc<str>>;
+    /// Decodes the name of a prefill result.
+    fn decode_prefill(&self, body: &[u8]) -> Option<Arc<str>>;
 
-    /// Asks an endpoint for its report.
-    fn ask_report(&self, endpoint: &Endpoint) -> Message;
+    /// Builds the request for an endpoint's report.
+    fn request_report(&self, endpoint: &Endpoint) -> Message;
 
-    /// Reads an endpoint's report.
-    fn report(&self, body: &[u8]) -> Option<Report>;
+    /// Decodes an endpoint's report.
+    fn decode_report(&self, body: &[u8]) -> Option<Report>;
 
-    /// Orders an endpoint to change its stage.
-    fn command(&self, endpoint: &Endpoint, command: &Command<'_>) -> Message;
+    /// Builds the request that changes an endpoint's stage.
+    fn change_stage(&self, endpoint: &Endpoint, change: &StageChange<'_>) -> Message;
 
-    /// Lets an endpoint forget a prompt's result.
-    fn release_result(&self, endpoint: &Endpoint, result: &str) -> Message;
+    /// Builds the request that releases a prefill result.
+    fn release_prefill(&self, endpoint: &Endpoint, result: &str) -> Message;
 }
 
-/// What an endpoint reports of itself.
+/// Status that an endpoint reports about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// What it does now.
+    /// Current stage.
     pub stage: Stage,
-    /// Whether it is carrying out an order.
-    pub busy: bool,
-    /// Orders that it has taken since its start.
-    pub orders: u64,
+    /// Whether a stage change is in progress.
+    pub is_busy: bool,
+    /// Number of stage changes accepted since the endpoint started.
+    pub revision: u64,
 }
 
-/// An order to an endpoint.
+/// Order to an endpoint to change its stage.
 #[derive(Clone, Debug)]
-pub struct Command<'a> {
-    /// The stage it is to have.
+pub struct StageChange<'a> {
+    /// New stage.
     pub stage: Stage,
-    /// The entry that orders.
+    /// Name of the gateway that sends the order.
     pub holder: &'a str,
-    /// Grows with every order of anybody.
-    pub token: u64,
-    /// Orders that the endpoint must have taken before: a late one is then refused.
-    pub orders: u64,
+    /// Fencing token; grows with every order of any gateway.
+    pub fencing_token: u64,
+    /// Revision that the endpoint must still report, so that a delayed order is refused.
+    pub expected_revision: u64,
 }
 
-/// Something that will be, boxed for use behind a trait object.
-pub type Boxed<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+/// Boxed future, for methods of trait objects.
+pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// The claim on orders, in the store.
+/// Access to the claim row in the store, which lets one gateway at a time send orders.
 pub trait Claims: Send + 'static {
     /// Reads the claim.
-    fn read(&mut self) -> Boxed<'_, Result<Reading, String>>;
+    fn read(&mut self) -> BoxFuture<'_, Result<Reading, String>>;
 
-    /// Writes a claim if the row still has a version (0: if there is none); gives the new version,
-    /// or nothing if somebody else was faster.
+    /// Writes the claim if the row still has `version` (0 if there is no row). Returns the new version,
+    /// or `None` if another gateway wrote the row first.
     fn write<'a>(
         &'a mut self,
         holder: &'a str,
         asked_ms: u64,
         version: u64,
-    ) -> Boxed<'a, Result<Option<u64>, String>>;
+    ) -> BoxFuture<'a, Result<Option<u64>, String>>;
 }
 
-/// What the store tells.
+/// Update of the local copy of the store.
 #[derive(Clone, Debug)]
 pub enum Update {
-    /// A configuration; a larger order is newer.
+    /// A configuration was read.
     Catalog {
-        /// Orders configurations.
+        /// Orders configurations; larger is newer.
         order: u64,
-        /// The configuration.
+        /// Decoded configuration.
         catalog: Arc<Catalog>,
-        /// The same as the store holds it, for entries that cannot read it.
+        /// Configuration as the store holds it, for peers that cannot reach the store.
         source: Arc<[u8]>,
     },
-    /// Endpoints.
+    /// Endpoints were read from the store.
     Listing(Listing),
-    /// Endpoints, as another entry has them: says nothing of whether the store can be reached.
-    ToldListing {
-        /// What it has.
+    /// Endpoints were fetched from a peer. This does not show that the store is reachable.
+    PeerListing {
+        /// Endpoints that the peer knows.
         listing: Listing,
-        /// Version of the newest row that it has read.
+        /// Version of the newest row that the peer has read.
         newest: u64,
     },
-    /// An entry, and where it hears digests.
+    /// Another gateway and its gossip address were read.
     Member(Member),
-    /// The store cannot be reached.
-    Lost {
-        /// What was to be read.
+    /// The store became unreachable.
+    StoreLost {
+        /// Part of the store that could not be read.
         what: &'static str,
-        /// Why it could not be.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The store can be reached again.
-    Regained {
-        /// What is read again.
+    /// The store is reachable again.
+    StoreRecovered {
+        /// Part of the store that is read again.
         what: &'static str,
     },
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -147,7 +147,7 @@
             let response = read_beside(&mut connection, &mut writing).await.map_err(Failure::Broken)?;
             let framing = response.framing(&head.method);
             let mut decoder = Decoder::new(framing.map_err(spoilt)?);
-            let reply = self.dialect.reply(&response);
+            let reply = self.dialect.decode_reply(&response);
             // An informational answer, or one that came late for a request before this one.
             let is_stranger = response.status < 200 || id.is_some() && reply.id.as_deref() != id;
             if is_stranger && (response.status < 200 || reply.id.is_some()) {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -27,7 +27,7 @@
 use crate::{
     answer::Answer,
     context::{Context, Inbound},
-    edge::Call,
+    edge::Metadata,
     identify::identify,
     stream, whole,
 };
@@ -90,9 +90,9 @@
         let close = !head.keeps_alive() || context.is_stopping();
         let mut answer = Answer::new(connection.stream().clone(), &head.method, head.minor, close);
         context.running.fetch_add(1, Ordering::Relaxed);
-        let call = context.dialect.call(&head);
-        let id = call.id.clone();
-        let served = unless(serve(context, head, body, call, &mut answer), gone(&mut connection)).await;
+        let metadata = context.dialect.decode_metadata(&head);
+        let id = metadata.id.clone();
+        let served = unless(serve(context, head, body, metadata, &mut answer), gone(&mut connection)).await;
         context.running.fetch_sub(1, Ordering::Relaxed);
         if served.is_none() {
             spdlog::info!("caller left", kv: { request = id.as_deref().unwrap_or("-") });
@@ -186,13 +186,13 @@
     }
 }
 
-async fn serve(context: &Arc<Context>, head: Request, body: Bytes, call: Call, answer: &mut Answer) {
-    let id = call.id.clone();
+async fn serve(context: &Arc<Context>, head: Request, body: Bytes, metadata: Metadata, answer: &mut Answer) {
+    let id = metadata.id.clone();
     let received = context.clock.now();
     context.control.informed(&context.clock).await;
     let catalog = context.control.catalog();
     let is_behind = context.control.is_behind();
-    let inbound = match identify(catalog.as_deref(), is_behind, head, body, call, received) {
+    let inbound = match identify(catalog.as_deref(), is_behind, head, body, metadata, received) {
         Ok(inbound) => inbound,
         Err(refusal) => return refuse(context, &refusal, id.as_deref(), answer).await,
     };
@@ -253,7 +253,7 @@
 async fn refuse(context: &Context, refusal: &Refusal, id: Option<&str>, answer: &mut Answer) {
     let code: &'static str = refusal.code.into();
     context.metrics.refusals.with_label_values(&[code]).inc();
-    let (head, body) = context.dialect.refuse(refusal, id);
+    let (head, body) = context.dialect.encode_refusal(refusal, id);
     let written = answer.whole(head, &body).await;
     spdlog::info!("request refused", kv: {
         request = id.unwrap_or("-"), code, status = answer.status, not_run = refusal.not_run,
@@ -275,7 +275,7 @@
     let status = answer.status.to_string();
     context.metrics.requests.with_label_values(&[kind.as_str(), status.as_str()]).inc();
     let took = context.clock.now().since(inbound.received);
-    let tokens = inbound.call.tokens.unwrap_or_default();
+    let tokens = inbound.metadata.tokens.unwrap_or_default();
     if answer.pace.events > 0 {
         context.metrics.gaps.observe(answer.pace.longest_gap.as_secs_f64());
     }
--- a/crates/gateway/src/handover.rs
+++ b/crates/gateway/src/handover.rs
@@ -141,7 +141,7 @@
         peer = &*member.name, order, configuration = configuration.len(), endpoints = listing.rows.len()
     });
     if !configuration.is_empty() {
-        match context.dialect.catalog(&configuration) {
+        match context.dialect.decode_catalog(&configuration) {
             Ok(catalog) => {
                 let catalog = Arc::new(catalog);
                 context.control.update(Update::Catalog { order, catalog, source: configuration });
@@ -152,5 +152,5 @@
             }
         }
     }
-    context.control.update(Update::ToldListing { listing, newest: versions.endpoints });
+    context.control.update(Update::PeerListing { listing, newest: versions.endpoints });
 }
--- a/crates/gateway/src/identify.rs
+++ b/crates/gateway/src/identify.rs
@@ -15,7 +15,7 @@
 use tarragonhill_h1::head::Request;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::{context::Inbound, edge::Call};
+use crate::{context::Inbound, edge::Metadata};
 
 /// What callers are told while this entry has not read a configuration yet. A process that starts reads
 /// one within some 30 ms, or the store is away, for some seconds: callers told 0.5 s came back into the
@@ -30,11 +30,11 @@
     is_behind: bool,
     head: Request,
     body: Bytes,
-    call: Call,
+    metadata: Metadata,
     received: Time,
 ) -> Result<Inbound, Refusal> {
     let found = match catalog {
-        Some(catalog) => look_up(catalog, &head, &call).map_err(|unknown| refusal(unknown, is_behind)),
+        Some(catalog) => look_up(catalog, &head, &metadata).map_err(|unknown| refusal(unknown, is_behind)),
         None => {
             let refusal = Refusal::not_run(Code::SettingsUnconfirmed, "no configuration is known yet");
             Err(refusal.retry_after(NO_CATALOG))
@@ -42,26 +42,26 @@
     };
     let (route, customer) = found?;
     let admission = Admission {
-        tokens: customer.as_ref().map_or(0, |customer| counted(customer, &call)),
+        tokens: customer.as_ref().map_or(0, |customer| counted(customer, &metadata)),
         service: route.service(rand::rng().random()).clone(),
         fingerprint: fingerprint(customer.as_ref().map_or("", |customer| &*customer.name), &head, &body),
         customer,
     };
-    Ok(Inbound::new(head, body, call, route, admission, received))
+    Ok(Inbound::new(head, body, metadata, route, admission, received))
 }
 
 /// What a request takes of its customer's rate.
-fn counted(customer: &Customer, call: &Call) -> u64 {
-    let tokens = call.tokens.filter(|_| customer.by_tokens);
+fn counted(customer: &Customer, metadata: &Metadata) -> u64 {
+    let tokens = metadata.tokens.filter(|_| customer.by_tokens);
     tokens.map_or(customer.flat, |tokens| tokens.prompt + tokens.output)
 }
 
 type Found = (Arc<Route>, Option<Arc<Customer>>);
 
-fn look_up(catalog: &Catalog, head: &Request, call: &Call) -> Result<Found, Unknown> {
+fn look_up(catalog: &Catalog, head: &Request, metadata: &Metadata) -> Result<Found, Unknown> {
     let host = head.fields.get("host").unwrap_or_default();
     let route = catalog.route(host, head.path())?;
-    let customer = catalog.caller(route, call.key.as_deref())?;
+    let customer = catalog.caller(route, metadata.key.as_deref())?;
     Ok((route.clone(), customer.cloned()))
 }
 
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     context::Context,
-    edge::{Claims, Command, Message, Report},
+    edge::{Claims, Message, Report, StageChange},
 };
 
 /// Longest time for an endpoint to answer a report or an order.
@@ -58,12 +58,12 @@
         Ok(report) => report,
         Err(reason) => return End::Dropped(reason),
     };
-    if report.stage == order.stage || report.busy {
+    if report.stage == order.stage || report.is_busy {
         return End::Dropped("the endpoint has changed or is about to".into());
     }
     let began = Instant::now();
-    let token = match claim(holder, claims).await {
-        Ok(token) => token,
+    let fencing_token = match claim(holder, claims).await {
+        Ok(fencing_token) => fencing_token,
         Err(reason) => return End::Dropped(reason),
     };
     // A process that was held up between the claim and the order might speak into the next
@@ -71,8 +71,9 @@
     if began.elapsed() >= TERM {
         return End::Dropped("the claim is too old".into());
     }
-    let command = Command { stage: order.stage, holder, token, orders: report.orders };
-    let message = context.dialect.command(&order.endpoint, &command);
+    let change =
+        StageChange { stage: order.stage, holder, fencing_token, expected_revision: report.revision };
+    let message = context.dialect.change_stage(&order.endpoint, &change);
     match ask(context, order, &message).await {
         Ok((200 | 202, _)) => End::Taken,
         Ok((status, _)) => End::Dropped(format!("status {status}")),
@@ -89,12 +90,12 @@
 }
 
 async fn report(context: &Context, order: &Order) -> Result<Report, String> {
-    let message = context.dialect.ask_report(&order.endpoint);
+    let message = context.dialect.request_report(&order.endpoint);
     let (status, body) = ask(context, order, &message).await?;
     if status != 200 {
         return Err(format!("report: status {status}"));
     }
-    context.dialect.report(&body).ok_or_else(|| "report unreadable".into())
+    context.dialect.decode_report(&body).ok_or_else(|| "report unreadable".into())
 }
 
 async fn ask(context: &Context, order: &Order, message: &Message) -> Result<(u16, bytes::Bytes), String> {
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -66,7 +66,7 @@
     /// How often requests may be sent to a further endpoint.
     pub retries: Rule,
     /// How long new connections still come after it has said that it is leaving.
-    pub linger: Duration,
+    pub drain_delay: Duration,
     /// Longest time from the order to stop to the end.
     pub grace: Duration,
 }
@@ -157,7 +157,7 @@
     }
 
     /// Where other entries reach it.
-    pub fn peer(&self) -> SocketAddr {
+    pub fn peer_address(&self) -> SocketAddr {
         self.peer
     }
 
@@ -180,11 +180,11 @@
         let Self { context, settings, tasks, closing, .. } = self;
         let clock = context.clock.clone();
         let began = clock.now();
-        let stop = Stop { noticed: began.plus(settings.linger), ends: began.plus(settings.grace) };
+        let stop = Stop { noticed: began.plus(settings.drain_delay), ends: began.plus(settings.grace) };
         // Set once only: shutdown takes the gateway itself.
         let _ = context.stop.set(stop);
         // Callers are sent here until the balancer has noticed; a closed door would turn them away.
-        clock.sleep(settings.linger.min(settings.grace)).await;
+        clock.sleep(settings.drain_delay.min(settings.grace)).await;
         drop(closing);
         while clock.now().since(began) < settings.grace {
             if context.running.load(Ordering::Relaxed) == 0 {
@@ -225,7 +225,7 @@
     }
 
     /// Brings those metrics up to date that are read off the state.
-    pub async fn observe(&self) {
+    pub async fn update_metrics(&self) {
         let version = self.0.control.catalog().map_or(0, |catalog| catalog.version());
         self.0.metrics.version.set(i64::try_from(version).unwrap_or(i64::MAX));
         for (service, forecast) in self.0.control.forecasts().await {
@@ -249,7 +249,7 @@
 
 async fn learn(updates: Receiver<Update>, context: Arc<Context>) {
     while let Ok(update) = updates.recv().await {
-        if let Update::Lost { what, .. } = &update {
+        if let Update::StoreLost { what, .. } = &update {
             context.metrics.store_losses.with_label_values(&[what]).inc();
         }
         context.control.update(update);
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -73,7 +73,7 @@
 impl Start {
     fn of(task: &Task<'_>) -> Self {
         match task {
-            Task::Decode(Decode { after: Some(_), .. }) | Task::Prefill | Task::Whole => Self::Other,
+            Task::Decode(Decode { last_event: Some(_), .. }) | Task::Prefill | Task::Whole => Self::Other,
             Task::Decode(Decode { source: Some(_), .. }) => Self::FromResult,
             Task::Decode(_) => Self::FromPrompt,
         }
@@ -215,9 +215,9 @@
 ) -> Result<Run<'a>, Trouble> {
     match placing {
         Placing::Whole(ticket) => {
-            let after = progress.last_event.as_deref();
-            let task = match after {
-                Some(_) => Task::Decode(Decode { after, ..Decode::default() }),
+            let last_event = progress.last_event.as_deref();
+            let task = match last_event {
+                Some(_) => Task::Decode(Decode { last_event, ..Decode::default() }),
                 None => Task::Whole,
             };
             send(context, inbound, ticket, endpoint, task).await
@@ -229,8 +229,8 @@
             };
             let decode = Decode {
                 source: read.as_ref().and_then(|read| Some((read.endpoint.address, read.name()?))),
-                hold: held.as_ref().and_then(Release::name),
-                after: progress.last_event.as_deref(),
+                reservation: held.as_ref().and_then(Release::name),
+                last_event: progress.last_event.as_deref(),
             };
             let started = send(context, inbound, run, endpoint, Task::Decode(decode)).await;
             if !matches!(started, Err(Trouble::NotRun(_))) {
@@ -273,12 +273,12 @@
         let _ = exchange.whole().await;
         return Err(Trouble::NotRun(reason));
     }
-    if status == 200 && exchange.reply.signed && !exchange.reply.encoded {
+    if status == 200 && exchange.reply.is_signed && !exchange.reply.is_encoded {
         ticket.answered();
         return Ok(Run { exchange, ticket, sent: began, start });
     }
     ticket.ended(Outcome::Failed);
-    let is_own = exchange.reply.signed && status >= 400 && !is_promise(status);
+    let is_own = exchange.reply.is_signed && status >= 400 && !is_promise(status);
     match exchange.whole().await {
         Ok((head, _, body)) if is_own => Err(Trouble::Answered(head, body)),
         Ok(_) => Err(Trouble::Broken(format!("{}: status {status} is no answer of its own", endpoint.id))),
--- a/crates/gateway/src/stream/placing.rs
+++ b/crates/gateway/src/stream/placing.rs
@@ -102,7 +102,7 @@
     engine: &Engine,
     memory: u64,
 ) -> Result<Option<Release>, NoHold> {
-    let message = context.dialect.hold(endpoint, memory, engine.longest_hold.min(HOLD_TTL));
+    let message = context.dialect.reserve(endpoint, memory, engine.longest_hold.min(HOLD_TTL));
     let sent = context.sender().send(endpoint, &message.head, &message.body, None, HOLD_LIMIT).await;
     let unreachable = |failure: Failure| NoHold::Unreachable(failure.to_string());
     let exchange = sent.map_err(unreachable)?;
@@ -110,7 +110,7 @@
         return Err(NoHold::Replaced);
     }
     let (head, _, body) = exchange.whole().await.map_err(unreachable)?;
-    match (head.status, context.dialect.held(&body)) {
+    match (head.status, context.dialect.decode_reservation(&body)) {
         (200, Some(hold)) => {
             Ok(Some(Release { context: context.clone(), endpoint: endpoint.clone(), kept: Kept::Hold(hold) }))
         }
--- a/crates/gateway/src/stream/reading.rs
+++ b/crates/gateway/src/stream/reading.rs
@@ -71,7 +71,7 @@
     };
     match taken {
         Ok((head, _, body)) if head.status == 200 => {
-            let result = context.dialect.prefilled(&body);
+            let result = context.dialect.decode_prefill(&body);
             if result.is_some() {
                 let took = context.clock.now().since(began);
                 ticket.observed(Observation::Read { tokens: ticket.tokens, took });
--- a/crates/gateway/src/stream/release.rs
+++ b/crates/gateway/src/stream/release.rs
@@ -36,8 +36,8 @@
 impl Drop for Release {
     fn drop(&mut self) {
         let message = match &self.kept {
-            Kept::Hold(hold) => self.context.dialect.release_hold(&self.endpoint, hold),
-            Kept::Result(result) => self.context.dialect.release_result(&self.endpoint, result),
+            Kept::Hold(hold) => self.context.dialect.release_reservation(&self.endpoint, hold),
+            Kept::Result(result) => self.context.dialect.release_prefill(&self.endpoint, result),
             Kept::Nothing => return,
         };
         self.context.send_beside(self.endpoint.clone(), message);
--- a/crates/gateway/src/whole.rs
+++ b/crates/gateway/src/whole.rs
@@ -191,7 +191,7 @@
         ticket.ended(outcome);
         return Attempt::NotRun(reason);
     }
-    if !reply.signed || reply.encoded {
+    if !reply.is_signed || reply.is_encoded {
         let reason =
             format!("{}: status {} is not the endpoint's own answer", ticket.endpoint.id, head.status);
         ticket.ended(Outcome::Failed);
