--- /dev/null
+++ b/crates/gateway/src/caller.rs
@@ -0,0 +1,130 @@
+//! Responses on callers' connections.
+
+use std::{io, time::Duration};
+
+use async_std::{future::timeout, net::TcpStream};
+use futures_lite::AsyncWriteExt as _;
+use tarragonhill_h1::{body, head::Response};
+
+use crate::timing::Timing;
+
+/// A caller that accepts no bytes for this long counts as disconnected.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Progress {
+    NotStarted,
+    /// The head has been written.
+    Started {
+        chunked: bool,
+    },
+    Complete,
+}
+
+/// Writes one response.
+#[derive(Debug)]
+pub struct ResponseWriter {
+    stream: TcpStream,
+    /// Minor HTTP version of the caller; HTTP/1.0 has no chunked encoding.
+    minor: u8,
+    is_head: bool,
+    /// Whether the connection closes after this response.
+    close: bool,
+    progress: Progress,
+    /// Status that was sent; 0 before the head is written.
+    pub status: u16,
+    /// Timing of the stream's events, for logs and metrics.
+    pub timing: Timing,
+}
+
+impl ResponseWriter {
+    /// Creates a writer for the response to a request with `method` from a caller that speaks HTTP/1.`minor`.
+    pub fn new(stream: TcpStream, method: &str, minor: u8, close: bool) -> Self {
+        let is_head = method == "HEAD";
+        Self {
+            stream,
+            minor,
+            is_head,
+            close,
+            progress: Progress::NotStarted,
+            status: 0,
+            timing: Timing::default(),
+        }
+    }
+
+    /// Returns whether nothing has been written yet.
+    pub fn is_unsent(&self) -> bool {
+        self.progress == Progress::NotStarted
+    }
+
+    /// Returns whether the whole response has been written.
+    pub fn is_complete(&self) -> bool {
+        self.progress == Progress::Complete
+    }
+
+    /// Returns whether the connection can carry another request.
+    pub fn keeps_alive(&self) -> bool {
+        self.is_complete() && !self.close
+    }
+
+    /// Writes a response whose body is known.
+    pub async fn write_whole(&mut self, mut head: Response, body: &[u8]) -> io::Result<()> {
+        self.set_framing(&mut head);
+        if !matches!(head.status, 204 | 304) {
+            head.fields.set("Content-Length", body.len().to_string());
+        }
+        let mut bytes = head.encode();
+        if !self.is_head {
+            bytes.extend_from_slice(body);
+        }
+        self.progress = Progress::Started { chunked: false };
+        self.write(&bytes).await?;
+        self.progress = Progress::Complete;
+        Ok(())
+    }
+
+    /// Writes the head of a response whose body follows in chunks.
+    pub async fn write_head(&mut self, mut head: Response) -> io::Result<()> {
+        let chunked = self.minor > 0;
+        self.close |= !chunked;
+        self.set_framing(&mut head);
+        if chunked {
+            head.fields.set("Transfer-Encoding", "chunked");
+        }
+        self.progress = Progress::Started { chunked };
+        self.write(&head.encode()).await
+    }
+
+    /// Writes a chunk of the body.
+    pub async fn write_chunk(&mut self, data: &[u8]) -> io::Result<()> {
+        match self.progress {
+            Progress::Started { chunked: true } if !data.is_empty() => self.write(&body::chunk(data)).await,
+            Progress::Started { .. } => self.write(data).await,
+            Progress::NotStarted | Progress::Complete => Ok(()),
+        }
+    }
+
+    /// Ends the body. Without this call, the caller can tell that the response is truncated.
+    pub async fn finish(&mut self) -> io::Result<()> {
+        if self.progress == (Progress::Started { chunked: true }) {
+            self.write(body::LAST_CHUNK).await?;
+        }
+        self.progress = Progress::Complete;
+        Ok(())
+    }
+
+    /// Replaces the framing and connection fields of the endpoint's response with the gateway's own.
+    fn set_framing(&mut self, head: &mut Response) {
+        self.status = head.status;
+        head.fields.strip_hop_by_hop();
+        head.fields.remove("content-length");
+        if self.close {
+            head.fields.set("Connection", "close");
+        }
+    }
+
+    async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
+        let written = timeout(WRITE_TIMEOUT, self.stream.write_all(bytes)).await;
+        written.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
+    }
+}
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! What all requests of the process share.
+//! State shared by all requests of the process.
 
 use std::{
     sync::{
@@ -18,18 +18,18 @@
 use crate::{
     control::Control,
     edge::{Dialect, Dispatch, Message, Metadata, Task},
-    exchange::{Exchange, Failure, Sender},
+    exchange::{Client, Exchange, Failure},
     metrics::Metrics,
     pool::Pool,
 };
 
-/// The end of a process that has been told to stop.
+/// Times of a shutdown in progress.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Stop {
-    /// Until then the balancer may not have noticed and sends callers here.
-    pub(crate) noticed: Time,
-    /// When the process ends at the latest.
-    pub(crate) ends: Time,
+pub(crate) struct Shutdown {
+    /// Until then, the load balancer may still send callers to this process.
+    pub(crate) drain_delay_ends: Time,
+    /// Latest time at which the process ends.
+    pub(crate) deadline: Time,
 }
 
 /// Shared by all tasks.
@@ -39,58 +39,56 @@
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) pool: Pool,
     pub(crate) metrics: Metrics,
-    /// Set when the process is told to stop.
-    pub(crate) stop: OnceLock<Stop>,
-    /// Requests under way.
-    pub(crate) running: AtomicUsize,
+    /// Set when the shutdown begins.
+    pub(crate) shutdown: OnceLock<Shutdown>,
+    /// Number of requests in flight.
+    pub(crate) in_flight: AtomicUsize,
 }
 
 impl Context {
-    pub(crate) fn sender(&self) -> Sender<'_> {
-        Sender { pool: &self.pool, dialect: &*self.dialect }
+    pub(crate) fn client(&self) -> Client<'_> {
+        Client { pool: &self.pool, dialect: &*self.dialect }
     }
 
-    /// Whether the process has been told to stop.
-    pub(crate) fn is_stopping(&self) -> bool {
-        self.stop.get().is_some()
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        self.shutdown.get().is_some()
     }
 
-    /// Sends a message whose answer nobody waits for, beside the traffic.
-    pub(crate) fn send_beside(self: &Arc<Self>, endpoint: Arc<Endpoint>, message: Message) {
+    /// Sends a message to an endpoint in a background task and discards the response.
+    pub(crate) fn send_detached(self: &Arc<Self>, endpoint: Arc<Endpoint>, message: Message) {
         let context = self.clone();
         async_std::task::spawn(async move {
-            let sent = context.sender().send(&endpoint, &message.head, &message.body, None, BESIDE_LIMIT);
+            let sent = context.client().send(&endpoint, &message.head, &message.body, None, DETACHED_TIMEOUT);
             match sent.await {
-                Ok(exchange) => drop(exchange.whole().await),
+                Ok(exchange) => drop(exchange.read_whole().await),
                 Err(failure) => {
-                    spdlog::debug!("release failed", kv: { endpoint = &*endpoint.id, reason = failure.to_string().as_str() });
+                    spdlog::debug!("sending a release failed", kv: { endpoint = &*endpoint.id, reason = failure.to_string().as_str() });
                 }
             }
         });
     }
 }
 
-/// Longest time for a message beside the traffic; what it releases lapses by itself later.
-const BESIDE_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout of background messages. They only release resources, which also expire on their own.
+const DETACHED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One request on its way.
+/// Caller's request that has been identified.
 pub(crate) struct Inbound {
     pub(crate) head: Request,
     pub(crate) body: Bytes,
     pub(crate) metadata: Metadata,
     pub(crate) route: Arc<Route>,
     pub(crate) admission: Admission,
-    /// When it had been read.
+    /// When the request had been read completely.
     pub(crate) received: Time,
-    /// When the caller or the operator gives up.
-    pub(crate) ends: Time,
-    /// Endpoints that may have run it, or may yet. A count, since two may have it at once and each
-    /// speaks for itself only.
+    /// Earlier of the caller's and the route's deadline.
+    pub(crate) deadline: Time,
+    /// Number of endpoints that may have run the request. A count, because two endpoints may have the
+    /// request at once and each can only report for itself that it did not run it.
     runs: AtomicU32,
 }
 
 impl Inbound {
-    /// A request that no endpoint has been given yet.
     pub(crate) fn new(
         head: Request,
         body: Bytes,
@@ -100,11 +98,11 @@
         received: Time,
     ) -> Self {
         let timeout = metadata.timeout.map_or(route.timeout, |timeout| timeout.min(route.timeout));
-        let ends = received.plus(timeout);
-        Self { head, body, metadata, route, admission, received, ends, runs: AtomicU32::new(0) }
+        let deadline = received.plus(timeout);
+        Self { head, body, metadata, route, admission, received, deadline, runs: AtomicU32::new(0) }
     }
 
-    /// The service that serves it.
+    /// Returns the service that handles the request.
     pub(crate) fn service(&self) -> &Arc<str> {
         &self.admission.service
     }
@@ -113,7 +111,7 @@
         self.metadata.id.as_deref().unwrap_or("-")
     }
 
-    /// The size of a completion; zero for a plain call.
+    /// Returns the size of a completion; zero for other requests.
     pub(crate) fn size(&self) -> Size {
         let tokens = self.metadata.tokens.unwrap_or_default();
         Size { prompt: tokens.prompt, expected: tokens.expected_output(), most: tokens.output }
@@ -124,12 +122,12 @@
         customer.and_then(|customer| customer.priority).unwrap_or(self.route.priority)
     }
 
-    /// Whether it may run again when `runs` endpoints may have run it.
-    pub(crate) fn may_repeat(&self, runs: u32) -> bool {
+    /// Returns whether the request may be retried after `runs` endpoints may have run it.
+    pub(crate) fn may_retry(&self, runs: u32) -> bool {
         self.route.is_repeatable() && runs < self.route.attempts
     }
 
-    /// Sends it to an endpoint with a task, and waits for the head of the answer, `limit` at most.
+    /// Sends the request to an endpoint and waits for the response head, for at most `limit`.
     pub(crate) async fn send<'a>(
         &self,
         context: &'a Context,
@@ -137,33 +135,33 @@
         task: Task<'_>,
         limit: Duration,
     ) -> Result<Exchange<'a>, Failure> {
-        let left = self.ends.since(context.clock.now());
+        let left = self.deadline.since(context.clock.now());
         let dispatch =
             Dispatch { endpoint, customer: self.customer_name(), left, priority: self.priority(), task };
         let head = context.dialect.encode_request(&self.head, &dispatch);
         let id = self.metadata.id.as_deref();
-        context.sender().send(endpoint, &head, &self.body, id, limit.min(left)).await
+        context.client().send(endpoint, &head, &self.body, id, limit.min(left)).await
     }
 
-    /// Logs where it goes: its endpoint, who reads its prompt, and how long it waited.
-    pub(crate) fn log_place(&self, now: Time, endpoint: &Endpoint, reader: Option<&Endpoint>) {
+    /// Logs the endpoint, the prefill endpoint if there is one, and the time until placement.
+    pub(crate) fn log_placement(&self, now: Time, endpoint: &Endpoint, prefill: Option<&Endpoint>) {
         spdlog::info!("request placed", kv: {
-            request = self.id(), endpoint = &*endpoint.id, reader = reader.map_or("", |reader| &*reader.id),
+            request = self.id(), endpoint = &*endpoint.id, reader = prefill.map_or("", |prefill| &*prefill.id),
             waited_ms = now.since(self.received).as_millis() as u64
         });
     }
 
-    /// An endpoint is given it, and may run it from now on.
-    pub(crate) fn given(&self) {
+    /// Records that the request is being sent to an endpoint, which may run it from now on.
+    pub(crate) fn mark_sent(&self) {
         self.runs.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// An endpoint that was given it has not run it and will not.
-    pub(crate) fn not_run(&self) {
+    /// Records that an endpoint has not run the request and will not run it.
+    pub(crate) fn mark_not_run(&self) {
         self.runs.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Whether any endpoint may have run it, or may yet.
+    /// Returns whether any endpoint may have run the request or may still run it.
     pub(crate) fn may_have_run(&self) -> bool {
         self.runs.load(Ordering::Relaxed) > 0
     }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,6 +1,6 @@
-//! The handle by which traffic asks the control thread.
+//! Handle on the control thread, which owns the routing state.
 //!
-//! The thread itself is in [`worker`]; traffic gets places from it as [`Ticket`]s.
+//! The thread itself is in [`worker`]. Placements are returned as [`Permit`]s.
 
 pub mod worker;
 
@@ -32,257 +32,252 @@
 
 use crate::edge::Update;
 
-/// Age at which a process that has read nothing gives callers up at once: ten times what the store
-/// takes when it is there, and short enough for a caller that bears a second to go elsewhere.
-const FIRST_READING: Duration = Duration::from_millis(300);
+/// How long requests wait for the first read of the store after startup. Short enough that a caller can
+/// still retry at another gateway when the store is unreachable.
+const INITIAL_READ_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Prompt tokens for which forecasts are shown.
-pub(crate) const PROMPT_SHOWN: u64 = 1_000;
+/// Prompt length for which forecasts are logged and exported, tokens.
+pub(crate) const FORECAST_PROMPT_TOKENS: u64 = 1_000;
 
-/// Whom to answer.
-pub(crate) type Reply<T> = Sender<T>;
-/// A place, or why there is none.
-pub(crate) type Placing = Result<Ticket, Refusal>;
-/// The places of a completion, or why there are none.
-pub(crate) type Pairing = Result<Tickets, Refusal>;
+pub(crate) type ReplySender<T> = Sender<T>;
+pub(crate) type PermitResult = Result<Permit, Refusal>;
+pub(crate) type PermitsResult = Result<Permits, Refusal>;
 
 pub(crate) enum Command {
-    Admit(Admission, Reply<Result<(), Refusal>>),
-    GiveBack(Admission),
-    Retry(Arc<str>, Reply<bool>),
-    IsSplit(Arc<str>, Reply<bool>),
-    Whole(Arc<str>, Vec<Arc<str>>, Reply<Placing>),
-    Prefill(Prompt, Reply<Option<Ticket>>),
-    LineUp(Completion, Reply<Pairing>),
-    Forecast(Arc<str>, Reply<Forecast>),
-    Forecasts(Reply<BTreeMap<Arc<str>, Forecast>>),
-    Observed(Arc<Endpoint>, Observation),
-    Made(Lease, Arc<str>, u64),
-    Answered(Lease),
-    Ended(Lease, Outcome),
-    Broke(Arc<str>, u64),
-    OrderDropped(Arc<str>),
+    Admit(Admission, ReplySender<Result<(), Refusal>>),
+    Refund(Admission),
+    AcquireRetry(Arc<str>, ReplySender<bool>),
+    IsSplit(Arc<str>, ReplySender<bool>),
+    Place(Arc<str>, Vec<Arc<str>>, ReplySender<PermitResult>),
+    PlacePrompt(Prompt, ReplySender<Option<Permit>>),
+    Enqueue(Completion, ReplySender<PermitsResult>),
+    Forecast(Arc<str>, ReplySender<Forecast>),
+    Forecasts(ReplySender<BTreeMap<Arc<str>, Forecast>>),
+    Observe(Arc<Endpoint>, Observation),
+    RecordEvents(Lease, Arc<str>, u64),
+    RecordResponse(Lease),
+    Release(Lease, Outcome),
+    RecordFailure(Arc<str>, u64),
+    DropOrder(Arc<str>),
     Update(Update),
     Digest(Box<Digest>, SocketAddr),
-    Knowledge(Reply<Option<Knowledge>>),
-    Ahead(Reply<Vec<Member>>),
-    Versions(Reply<Versions>),
-    Members(Reply<Vec<Member>>),
-    Dump(Reply<serde_json::Value>),
+    Snapshot(ReplySender<Option<Knowledge>>),
+    NewerPeers(ReplySender<Vec<Member>>),
+    Versions(ReplySender<Versions>),
+    Members(ReplySender<Vec<Member>>),
+    Dump(ReplySender<serde_json::Value>),
 }
 
-/// A request's place at an endpoint; given back when dropped.
-pub struct Ticket {
-    /// The endpoint.
+/// Placement of a request on an endpoint. Dropping it releases the request's share of the endpoint's load.
+pub struct Permit {
+    /// Endpoint that the request is placed on.
     pub endpoint: Arc<Endpoint>,
-    /// Prompt tokens to be read there, those before it included; zero if it is no reader's place.
+    /// Prompt tokens queued at a prefill endpoint, including this prompt; zero for other placements.
     pub tokens: u64,
-    /// How long to wait for its prompt to be read before another endpoint is asked; zero likewise.
+    /// Prefill timeout, after which another endpoint is asked; zero for other placements.
     pub limit: Duration,
     lease: Lease,
     outcome: Outcome,
     control: Control,
 }
 
-impl Ticket {
-    /// The answer has begun.
-    pub fn answered(&mut self) {
+impl Permit {
+    /// Records that the response has begun.
+    pub fn record_response(&mut self) {
         self.outcome = Outcome::Abandoned;
-        self.control.tell(Command::Answered(self.lease.clone()));
+        self.control.send(Command::RecordResponse(self.lease.clone()));
         self.lease.read();
     }
 
-    /// Tokens of memory that are promised to the request.
+    /// Returns the memory reserved for the request, tokens.
     pub fn memory(&self) -> u64 {
         self.lease.share.memory
     }
 
-    /// What the request showed of the endpoint.
-    pub fn observed(&self, observation: Observation) {
-        self.control.tell(Command::Observed(self.endpoint.clone(), observation));
+    /// Records an observation of the endpoint.
+    pub fn observe(&self, observation: Observation) {
+        self.control.send(Command::Observe(self.endpoint.clone(), observation));
     }
 
-    /// Events that the run has made, and the time since those before.
-    pub fn paced(&self, events: u64, span: Duration) {
-        self.observed(Observation::Paced { events, span });
-        self.control.tell(Command::Made(self.lease.clone(), self.endpoint.service.clone(), events));
+    /// Records events that the endpoint generated within `span`.
+    pub fn record_events(&self, events: u64, span: Duration) {
+        self.observe(Observation::Paced { events, span });
+        self.control.send(Command::RecordEvents(self.lease.clone(), self.endpoint.service.clone(), events));
     }
 
-    /// How the request ended here.
-    pub fn ended(mut self, outcome: Outcome) {
+    /// Releases the permit with the outcome of the request.
+    pub fn finish(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 }
 
-impl Drop for Ticket {
+impl Drop for Permit {
     fn drop(&mut self) {
-        self.control.tell(Command::Ended(self.lease.clone(), self.outcome));
+        self.control.send(Command::Release(self.lease.clone(), self.outcome));
     }
 }
 
-/// A completion's places.
-pub struct Tickets {
-    /// Where its tokens are made.
-    pub run: Ticket,
-    /// Where its prompt is read; without one, where its tokens are made.
-    pub reader: Option<Ticket>,
+/// Placements of a completion.
+pub struct Permits {
+    /// Endpoint that generates the tokens.
+    pub decode: Permit,
+    /// Endpoint that prefills the prompt; `None` if the decode endpoint does so itself.
+    pub prefill: Option<Permit>,
 }
 
-/// The configuration that requests are served by.
 #[derive(Default)]
-struct InForce {
-    /// None before the first.
+struct ActiveConfig {
+    /// `None` before the first configuration.
     catalog: Option<Arc<Catalog>>,
-    /// Whether another entry has a newer one.
-    is_behind: bool,
+    /// Whether a peer has a newer configuration.
+    is_stale: bool,
 }
 
-fn lock(in_force: &Mutex<InForce>) -> MutexGuard<'_, InForce> {
-    in_force.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(active: &Mutex<ActiveConfig>) -> MutexGuard<'_, ActiveConfig> {
+    active.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A handle on the control thread.
+/// Handle on the control thread.
 #[derive(Clone)]
 pub struct Control {
     commands: Sender<Command>,
-    in_force: Arc<Mutex<InForce>>,
-    /// Closed once configuration and endpoints have been read; nothing is ever sent.
-    informed: Receiver<()>,
+    active: Arc<Mutex<ActiveConfig>>,
+    /// Closed once configuration and endpoints have been read; no message is ever sent.
+    initialized: Receiver<()>,
     started: Time,
 }
 
 impl Control {
-    /// Waits until configuration and endpoints have been read, or until it is plain that the store
-    /// is away: a process that has just started reads them within some 30 ms, and a caller that came
-    /// before that would lose its only repeat to a refusal.
-    pub async fn informed(&self, clock: &Clock) {
-        let left = FIRST_READING.saturating_sub(clock.now().since(self.started));
-        // Either it is informed, or requests are refused for want of a configuration.
+    /// Waits until configuration and endpoints have been read, but at most `INITIAL_READ_TIMEOUT` after
+    /// startup. Without the wait, requests that arrive during the first read would be refused.
+    pub async fn wait_initialized(&self, clock: &Clock) {
+        let left = INITIAL_READ_TIMEOUT.saturating_sub(clock.now().since(self.started));
+        // After the timeout, requests are refused because there is no configuration.
         let read = async {
-            let _ = self.informed.recv().await;
+            let _ = self.initialized.recv().await;
         };
         read.or(clock.sleep(left)).await;
     }
 
-    /// The configuration in force.
+    /// Returns the active configuration.
     pub fn catalog(&self) -> Option<Arc<Catalog>> {
-        lock(&self.in_force).catalog.clone()
+        lock(&self.active).catalog.clone()
     }
 
-    /// Whether another entry has a newer one.
-    pub fn is_behind(&self) -> bool {
-        lock(&self.in_force).is_behind
+    /// Returns whether a peer has a newer configuration.
+    pub fn is_stale(&self) -> bool {
+        lock(&self.active).is_stale
     }
 
-    fn tell(&self, command: Command) {
-        // Fails only once the control thread has ended, with the process.
+    fn send(&self, command: Command) {
+        // Fails only once the control thread has ended, at process exit.
         let _ = self.commands.try_send(command);
     }
 
-    async fn ask<T>(&self, command: impl FnOnce(Reply<T>) -> Command) -> Option<T> {
-        let (reply, answer) = async_channel::bounded(1);
-        self.tell(command(reply));
-        answer.recv().await.ok()
+    async fn request<T>(&self, command: impl FnOnce(ReplySender<T>) -> Command) -> Option<T> {
+        let (sender, reply) = async_channel::bounded(1);
+        self.send(command(sender));
+        reply.recv().await.ok()
     }
 
-    /// Whether a request may run at all; charges its customer if so.
+    /// Admits a request and charges its customer, or refuses it.
     pub async fn admit(&self, admission: Admission) -> Result<(), Refusal> {
-        self.ask(|reply| Command::Admit(admission, reply)).await.unwrap_or(Err(stopping()))
+        self.request(|reply| Command::Admit(admission, reply)).await.unwrap_or(Err(shutting_down()))
     }
 
-    /// Gives back what a request was charged that nobody ran.
-    pub fn give_back(&self, admission: Admission) {
-        self.tell(Command::GiveBack(admission));
+    /// Refunds the charge for a request that has not run.
+    pub fn refund(&self, admission: Admission) {
+        self.send(Command::Refund(admission));
     }
 
-    /// Whether a request may be sent to a further endpoint.
-    pub async fn retry(&self, service: &Arc<str>) -> bool {
-        self.ask(|reply| Command::Retry(service.clone(), reply)).await.unwrap_or(false)
+    /// Takes one retry from the service's retry budget. Returns false if the budget is exhausted.
+    pub async fn acquire_retry(&self, service: &Arc<str>) -> bool {
+        self.request(|reply| Command::AcquireRetry(service.clone(), reply)).await.unwrap_or(false)
     }
 
-    /// Whether a service reads prompts and makes tokens at different endpoints.
+    /// Returns whether a service has separate prefill and decode endpoints.
     pub async fn is_split(&self, service: &Arc<str>) -> bool {
-        self.ask(|reply| Command::IsSplit(service.clone(), reply)).await.unwrap_or(false)
+        self.request(|reply| Command::IsSplit(service.clone(), reply)).await.unwrap_or(false)
     }
 
-    /// A place for a whole request.
-    pub async fn whole(&self, service: &Arc<str>, avoid: &[Arc<str>]) -> Placing {
-        let asked = self.ask(|reply| Command::Whole(service.clone(), avoid.to_vec(), reply)).await;
-        asked.unwrap_or(Err(stopping()))
+    /// Places a whole request on an endpoint that is not in `avoid`.
+    pub async fn place(&self, service: &Arc<str>, avoid: &[Arc<str>]) -> PermitResult {
+        let placed = self.request(|reply| Command::Place(service.clone(), avoid.to_vec(), reply)).await;
+        placed.unwrap_or(Err(shutting_down()))
     }
 
-    /// A place for reading a prompt.
-    pub async fn prefill(&self, prompt: Prompt) -> Option<Ticket> {
-        self.ask(|reply| Command::Prefill(prompt, reply)).await.flatten()
+    /// Places a prompt on a prefill endpoint; `None` if no endpoint is available.
+    pub async fn place_prompt(&self, prompt: Prompt) -> Option<Permit> {
+        self.request(|reply| Command::PlacePrompt(prompt, reply)).await.flatten()
     }
 
-    /// Waits for the places of a completion.
-    pub async fn decode(&self, completion: Completion) -> Pairing {
-        let asked = self.ask(|reply| Command::LineUp(completion, reply));
-        asked.await.unwrap_or(Err(stopping()))
+    /// Queues a completion and waits for its placement.
+    pub async fn place_completion(&self, completion: Completion) -> PermitsResult {
+        let placed = self.request(|reply| Command::Enqueue(completion, reply));
+        placed.await.unwrap_or(Err(shutting_down()))
     }
 
-    /// What is known of a service's endpoints together.
+    /// Returns the forecast for a service.
     pub async fn forecast(&self, service: &Arc<str>) -> Forecast {
-        self.ask(|reply| Command::Forecast(service.clone(), reply)).await.unwrap_or_default()
+        self.request(|reply| Command::Forecast(service.clone(), reply)).await.unwrap_or_default()
     }
 
-    /// The same for all services.
+    /// Returns the forecasts for all services.
     pub async fn forecasts(&self) -> BTreeMap<Arc<str>, Forecast> {
-        self.ask(Command::Forecasts).await.unwrap_or_default()
+        self.request(Command::Forecasts).await.unwrap_or_default()
     }
 
-    /// A request broke off at an endpoint.
-    pub fn broke(&self, endpoint: &Arc<str>, fingerprint: u64) {
-        self.tell(Command::Broke(endpoint.clone(), fingerprint));
+    /// Records that a request failed at an endpoint while it may have been running.
+    pub fn record_failure(&self, endpoint: &Arc<str>, fingerprint: u64) {
+        self.send(Command::RecordFailure(endpoint.clone(), fingerprint));
     }
 
-    /// An order was not carried out.
-    pub fn order_dropped(&self, endpoint: &Arc<str>) {
-        self.tell(Command::OrderDropped(endpoint.clone()));
+    /// Discards an order that an endpoint will not execute.
+    pub fn drop_order(&self, endpoint: &Arc<str>) {
+        self.send(Command::DropOrder(endpoint.clone()));
     }
 
-    /// Takes what the store tells.
+    /// Applies an update of the local copy of the store.
     pub fn update(&self, update: Update) {
-        self.tell(Command::Update(update));
+        self.send(Command::Update(update));
     }
 
-    /// Takes another entry's digest.
-    pub fn digest(&self, digest: Digest, from: SocketAddr) {
-        self.tell(Command::Digest(Box::new(digest), from));
+    /// Applies a digest received from a peer.
+    pub fn receive_digest(&self, digest: Digest, from: SocketAddr) {
+        self.send(Command::Digest(Box::new(digest), from));
     }
 
-    /// What has been read from the store; nothing before the first configuration.
-    pub async fn knowledge(&self) -> Option<Knowledge> {
-        self.ask(Command::Knowledge).await.flatten()
+    /// Returns a snapshot of what has been read from the store; `None` before the first configuration.
+    pub async fn snapshot(&self) -> Option<Knowledge> {
+        self.request(Command::Snapshot).await.flatten()
     }
 
-    /// The entries to ask for what the store should have given by now; none while nothing is overdue.
-    pub async fn ahead(&self) -> Vec<Member> {
-        self.ask(Command::Ahead).await.unwrap_or_default()
+    /// Returns the peers that have read data which the store should have delivered here by now.
+    pub async fn newer_peers(&self) -> Vec<Member> {
+        self.request(Command::NewerPeers).await.unwrap_or_default()
     }
 
-    /// How new this entry's copy of the store is.
+    /// Returns the versions of the local copy of the store.
     pub async fn versions(&self) -> Versions {
-        self.ask(Command::Versions).await.unwrap_or_default()
+        self.request(Command::Versions).await.unwrap_or_default()
     }
 
-    /// The other entries.
+    /// Returns the known peers.
     pub async fn members(&self) -> Vec<Member> {
-        self.ask(Command::Members).await.unwrap_or_default()
+        self.request(Command::Members).await.unwrap_or_default()
     }
 
-    /// Whether configuration and endpoints have been read.
-    pub fn is_informed(&self) -> bool {
-        self.informed.is_closed()
+    /// Returns whether configuration and endpoints have been read.
+    pub fn is_initialized(&self) -> bool {
+        self.initialized.is_closed()
     }
 
-    /// What the process believes, for people.
+    /// Returns the routing state for the admin address.
     pub async fn dump(&self) -> serde_json::Value {
-        self.ask(Command::Dump).await.unwrap_or_default()
+        self.request(Command::Dump).await.unwrap_or_default()
     }
 }
 
-fn stopping() -> Refusal {
+fn shutting_down() -> Refusal {
     Refusal::not_run(Code::ShuttingDown, "the process is stopping")
 }
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -1,4 +1,4 @@
-//! The control thread: owns the state, carries out what traffic asks, and lets time pass.
+//! Control thread: owns the routing state, executes commands and runs periodic work.
 
 use std::{
     collections::BTreeMap,
@@ -27,54 +27,55 @@
     refusal::Code,
 };
 
-use super::{Command, Control, InForce, PROMPT_SHOWN, Pairing, Reply, Ticket, Tickets, lock, stopping};
+use super::{
+    ActiveConfig, Command, Control, FORECAST_PROMPT_TOKENS, Permit, Permits, PermitsResult, ReplySender,
+    lock, shutting_down,
+};
 use crate::edge::Update;
 
-/// How often time alone is looked at: digests are sent and lapsed things settled. What others have
-/// taken is seen this late, and a burst brings two or three streams to an entry meanwhile; twice as often
-/// would cost twice the bytes between zones.
+/// Interval of digests and of expiring state. Peers see this gateway's load with this delay; a shorter
+/// interval costs more traffic between availability zones.
 const TICK: Duration = Duration::from_millis(100);
-/// Shortest time between two digests, where the others should hear at once.
-const URGENT_TICK: Duration = Duration::from_millis(25);
-/// The same while requests wait, so that one that waits in vain is told soon.
-const BUSY_TICK: Duration = Duration::from_millis(25);
-/// How often forecasts are logged, so that a refusal can be traced to what was believed.
-const LOG_FORECASTS: Duration = Duration::from_secs(2);
+/// Minimum interval of digests while an urgent change is pending.
+const URGENT_DIGEST_INTERVAL: Duration = Duration::from_millis(25);
+/// Interval at which the queue is checked while requests wait, so that expired requests are refused soon.
+const QUEUE_TICK: Duration = Duration::from_millis(25);
+/// Interval at which forecasts are logged; they explain refusals.
+const FORECAST_LOG_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A digest that is to be sent, and to whom.
+/// Digest and the peers to send it to.
 pub type Outgoing = (Digest, Vec<Member>);
 
-/// Where the thread's own actions go.
+/// Channels for the thread's output.
 #[derive(Debug)]
-pub struct Outlets {
-    /// Digests for the other entries.
+pub struct Outputs {
+    /// Digests for peers.
     pub digests: Sender<Outgoing>,
     /// Orders for endpoints.
     pub orders: Sender<Order>,
 }
 
-/// Starts the thread and gives a handle on it; digests to be sent and orders to be given come out of
-/// `outgoing`.
-pub fn start(identity: Identity, retries: Rule, clock: Clock, outgoing: Outlets) -> io::Result<Control> {
+/// Starts the thread and returns a handle on it. The thread sends digests and orders to `outputs`.
+pub fn start(identity: Identity, retries: Rule, clock: Clock, outputs: Outputs) -> io::Result<Control> {
     let (commands, received) = async_channel::unbounded();
-    let (uninformed, informed) = async_channel::bounded(1);
+    let (initializing, initialized) = async_channel::bounded(1);
     let started = clock.now();
-    let control = Control { commands, in_force: Arc::default(), informed, started };
+    let control = Control { commands, active: Arc::default(), initialized, started };
     let state = State::new(identity, retries, started);
-    // Held weakly: the thread ends when the traffic has dropped its last handle.
+    // A weak handle, so that the thread ends once all other handles have been dropped.
     let commands = control.commands.downgrade();
-    let (in_force, informed) = (control.in_force.clone(), control.informed.clone());
-    let shared = Shared { commands, in_force, informed, started };
-    let uninformed = Some(uninformed);
+    let (active, initialized) = (control.active.clone(), control.initialized.clone());
+    let weak_control = WeakControl { commands, active, initialized, started };
+    let initializing = Some(initializing);
     let mut worker = Worker {
         state,
         clock,
-        shared,
+        weak_control,
         source: None,
-        uninformed,
-        outgoing,
-        told: Time::ZERO,
-        logged: Time::ZERO,
+        initializing,
+        outputs,
+        last_digest: Time::ZERO,
+        last_forecast_log: Time::ZERO,
     };
     thread::Builder::new()
         .name("control".into())
@@ -82,127 +83,127 @@
     Ok(control)
 }
 
-/// What a handle is made of, held weakly.
-struct Shared {
+/// Weak form of [`Control`].
+struct WeakControl {
     commands: WeakSender<Command>,
-    in_force: Arc<Mutex<InForce>>,
-    informed: Receiver<()>,
+    active: Arc<Mutex<ActiveConfig>>,
+    initialized: Receiver<()>,
     started: Time,
 }
 
-impl Shared {
-    /// Nothing once the traffic has ended.
-    fn control(&self) -> Option<Control> {
-        let Self { commands, in_force, informed, started } = self;
-        let (in_force, informed) = (in_force.clone(), informed.clone());
-        Some(Control { commands: commands.upgrade()?, in_force, informed, started: *started })
+impl WeakControl {
+    /// Returns a handle, or `None` once all other handles have been dropped.
+    fn upgrade(&self) -> Option<Control> {
+        let Self { commands, active, initialized, started } = self;
+        let (active, initialized) = (active.clone(), initialized.clone());
+        Some(Control { commands: commands.upgrade()?, active, initialized, started: *started })
     }
 }
 
-/// The control thread's own.
 struct Worker {
-    state: State<Reply<Pairing>>,
+    state: State<ReplySender<PermitsResult>>,
     clock: Clock,
-    shared: Shared,
-    /// The configuration in force as the store holds it.
+    weak_control: WeakControl,
+    /// Active configuration as the store holds it.
     source: Option<Arc<[u8]>>,
     /// Dropped once configuration and endpoints have been read.
-    uninformed: Option<Sender<()>>,
-    outgoing: Outlets,
+    initializing: Option<Sender<()>>,
+    outputs: Outputs,
     /// When the last digest was sent.
-    told: Time,
+    last_digest: Time,
     /// When forecasts were last logged.
-    logged: Time,
+    last_forecast_log: Time,
 }
 
 impl Worker {
     async fn run(&mut self, commands: Receiver<Command>) {
         loop {
-            let tick = if self.state.line_length() > 0 { BUSY_TICK } else { TICK };
+            let tick = if self.state.line_length() > 0 { QUEUE_TICK } else { TICK };
             match timeout(tick, commands.recv()).await {
-                Ok(Ok(command)) => self.take(command),
+                Ok(Ok(command)) => self.execute(command),
                 Ok(Err(_)) => return,
                 Err(_) => {}
             }
-            self.pass_time();
+            self.tick();
         }
     }
 
-    fn pass_time(&mut self) {
+    /// Runs the periodic work that is due and places queued requests.
+    fn tick(&mut self) {
         let now = self.clock.now();
-        let since = now.since(self.told);
-        if since >= TICK || (since >= URGENT_TICK && self.state.is_urgent()) {
-            self.told = now;
-            lock(&self.shared.in_force).is_behind = self.state.is_behind(now);
+        let since = now.since(self.last_digest);
+        if since >= TICK || (since >= URGENT_DIGEST_INTERVAL && self.state.is_urgent()) {
+            self.last_digest = now;
+            lock(&self.weak_control.active).is_stale = self.state.is_behind(now);
             let (changes, gone) = self.state.settle(now);
             log_changes(&changes);
             for peer in gone {
-                spdlog::info!("entry forgotten", kv: { peer = &*peer });
+                spdlog::info!("peer expired", kv: { peer = &*peer });
             }
-            // Full only while the sender is behind; the next digest says the same and more.
-            let _ = self.outgoing.digests.try_send(self.state.digest(now));
+            // The channel is full only if the sender lags; the next digest supersedes this one.
+            let _ = self.outputs.digests.try_send(self.state.digest(now));
             if let Some(order) = self.state.order(now)
-                && let Err(error) = self.outgoing.orders.try_send(order)
+                && let Err(error) = self.outputs.orders.try_send(order)
             {
                 self.state.order_dropped(&error.into_inner().endpoint.id);
             }
         }
-        if now.since(self.logged) >= LOG_FORECASTS {
-            self.logged = now;
+        if now.since(self.last_forecast_log) >= FORECAST_LOG_INTERVAL {
+            self.last_forecast_log = now;
             log_forecasts(&self.state.forecasts());
         }
         self.state.retain_line(|reply| !reply.is_closed());
         for (waiting, verdict) in self.state.pump(now) {
-            let placing = match verdict {
-                Verdict::Placed(pair) => self.tickets(pair).ok_or_else(stopping),
+            let result = match verdict {
+                Verdict::Placed(pair) => self.permits(pair).ok_or_else(shutting_down),
                 Verdict::Hopeless => Err(self.overloaded(now, &waiting.service)),
             };
-            // A ticket whose asker is gone is dropped here, which gives it back.
-            let _ = waiting.tag.try_send(placing);
+            // If the receiver is gone, the permits are dropped here and thereby released.
+            let _ = waiting.tag.try_send(result);
         }
     }
 
-    /// Nothing once the traffic has ended: then nobody waits for it either.
-    fn ticket(&self, place: Place) -> Option<Ticket> {
+    /// Returns `None` once all handles have been dropped; no request is left to receive the permit then.
+    fn permit(&self, place: Place) -> Option<Permit> {
         let Place { endpoint, lease, tokens, limit } = place;
-        let control = self.shared.control()?;
-        Some(Ticket { endpoint, tokens, limit, lease, outcome: Outcome::Abandoned, control })
+        let control = self.weak_control.upgrade()?;
+        Some(Permit { endpoint, tokens, limit, lease, outcome: Outcome::Abandoned, control })
     }
 
-    fn tickets(&self, pair: Pair) -> Option<Tickets> {
+    fn permits(&self, pair: Pair) -> Option<Permits> {
         let Pair { run, reader } = pair;
-        let run = self.ticket(run)?;
-        Some(Tickets { run, reader: reader.and_then(|reader| self.ticket(reader)) })
+        let decode = self.permit(run)?;
+        Some(Permits { decode, prefill: reader.and_then(|reader| self.permit(reader)) })
     }
 
-    fn take(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         let now = self.clock.now();
         match command {
             Command::Admit(admission, reply) => drop(reply.try_send(self.state.admit(now, &admission))),
-            Command::GiveBack(admission) => self.state.give_back(&admission),
-            Command::Retry(service, reply) => drop(reply.try_send(self.state.retry(now, &service))),
+            Command::Refund(admission) => self.state.give_back(&admission),
+            Command::AcquireRetry(service, reply) => drop(reply.try_send(self.state.retry(now, &service))),
             Command::IsSplit(service, reply) => drop(reply.try_send(self.state.is_split(now, &service))),
-            Command::Whole(service, avoid, reply) => {
+            Command::Place(service, avoid, reply) => {
                 let place = self.state.whole(now, &service, &avoid);
-                drop(reply.try_send(place.and_then(|place| self.ticket(place).ok_or_else(stopping))));
+                drop(reply.try_send(place.and_then(|place| self.permit(place).ok_or_else(shutting_down))));
             }
-            Command::Prefill(prompt, reply) => {
+            Command::PlacePrompt(prompt, reply) => {
                 let place = self.state.prefill(now, &prompt);
-                drop(reply.try_send(place.and_then(|place| self.ticket(place))));
+                drop(reply.try_send(place.and_then(|place| self.permit(place))));
             }
-            Command::LineUp(completion, reply) => self.state.line_up(now, completion, reply),
+            Command::Enqueue(completion, reply) => self.state.line_up(now, completion, reply),
             Command::Forecast(service, reply) => drop(reply.try_send(self.state.forecast(&service))),
             Command::Forecasts(reply) => drop(reply.try_send(self.state.forecasts())),
-            Command::Observed(endpoint, observation) => self.state.observed(now, &endpoint, observation),
-            Command::Made(lease, service, events) => self.state.made(&lease, &service, events),
-            Command::Answered(lease) => self.state.answered(now, &lease),
-            Command::Ended(lease, outcome) => self.state.ended(now, &lease, outcome),
-            Command::Broke(endpoint, fingerprint) => self.state.broke(now, &endpoint, fingerprint),
-            Command::OrderDropped(endpoint) => self.state.order_dropped(&endpoint),
+            Command::Observe(endpoint, observation) => self.state.observed(now, &endpoint, observation),
+            Command::RecordEvents(lease, service, events) => self.state.made(&lease, &service, events),
+            Command::RecordResponse(lease) => self.state.answered(now, &lease),
+            Command::Release(lease, outcome) => self.state.ended(now, &lease, outcome),
+            Command::RecordFailure(endpoint, fingerprint) => self.state.broke(now, &endpoint, fingerprint),
+            Command::DropOrder(endpoint) => self.state.order_dropped(&endpoint),
             Command::Update(update) => self.update(now, update),
             Command::Digest(digest, from) => self.state.heard(now, &digest, from),
-            Command::Knowledge(reply) => drop(reply.try_send(self.knowledge())),
-            Command::Ahead(reply) => drop(reply.try_send(self.state.ahead(now))),
+            Command::Snapshot(reply) => drop(reply.try_send(self.snapshot())),
+            Command::NewerPeers(reply) => drop(reply.try_send(self.state.ahead(now))),
             Command::Versions(reply) => drop(reply.try_send(self.state.versions())),
             Command::Members(reply) => drop(reply.try_send(self.state.members())),
             Command::Dump(reply) => drop(reply.try_send(self.dump(now))),
@@ -211,7 +212,7 @@
 
     fn overloaded(&self, now: Time, service: &str) -> Refusal {
         let why = self.state.describe(now, service);
-        let message = format!("no memory becomes free in time: {why}");
+        let message = format!("no endpoint memory becomes free before the deadline: {why}");
         Refusal::not_run(Code::Overloaded, message).retry_after(self.state.memory_free_after(service))
     }
 
@@ -223,34 +224,35 @@
                 log_changes(&self.state.told(now, listing, newest));
             }
             Update::Member(member) => {
-                spdlog::info!("entry named", kv: { peer = &*member.name, address = member.address.to_string().as_str() });
+                spdlog::info!("peer read from the store", kv: { peer = &*member.name, address = member.address.to_string().as_str() });
                 self.state.member(now, member);
             }
             Update::StoreLost { what, reason } => {
                 spdlog::warn!("store lost", kv: { what, reason = reason.as_str() });
                 self.state.store_lost();
             }
-            Update::StoreRecovered { what } => spdlog::info!("store regained", kv: { what }),
+            Update::StoreRecovered { what } => spdlog::info!("store recovered", kv: { what }),
         }
         if self.state.is_informed() {
-            self.uninformed = None;
+            self.initializing = None;
         }
     }
 
-    fn knowledge(&self) -> Option<Knowledge> {
+    fn snapshot(&self) -> Option<Knowledge> {
         let configuration = self.source.clone()?;
         let versions = self.state.versions();
         Some(Knowledge { versions, configuration, listing: self.state.listing() })
     }
 
+    /// Activates a configuration, unless it is not newer than the active one.
     fn adopt(&mut self, now: Time, order: u64, catalog: Arc<Catalog>, source: Arc<[u8]>) {
         let (version, routes) = (catalog.version(), catalog.route_count());
         if !self.state.adopt(now, order, catalog.clone()) {
-            spdlog::info!("older configuration ignored", kv: { version, order });
+            spdlog::info!("outdated configuration ignored", kv: { version, order });
             return;
         }
         self.source = Some(source);
-        lock(&self.shared.in_force).catalog = Some(catalog);
+        lock(&self.weak_control.active).catalog = Some(catalog);
         spdlog::info!("configuration in force", kv: { version, order, routes });
     }
 
@@ -278,7 +280,7 @@
             .collect();
         serde_json::json!({
             "version": self.state.catalog().map(|catalog| catalog.version()),
-            "behind": lock(&self.shared.in_force).is_behind,
+            "behind": lock(&self.weak_control.active).is_stale,
             "endpoints": endpoints,
             "left": self.state.left(now),
             "sharers": self.state.sharers(),
@@ -296,14 +298,14 @@
 }
 
 fn forecast_json(forecast: &Forecast) -> serde_json::Value {
-    let answer = forecast.lengths();
+    let lengths = forecast.lengths();
     serde_json::json!({
         "reading_us_per_token": forecast.reading.map(|trend| trend.slope * 1e6),
         "own_reading_us_per_token": forecast.own_reading.map(|trend| trend.slope * 1e6),
-        "first_event_ms": forecast.first.map(|trend| trend.at(PROMPT_SHOWN).as_secs_f64() * 1e3),
+        "first_event_ms": forecast.first.map(|trend| trend.at(FORECAST_PROMPT_TOKENS).as_secs_f64() * 1e3),
         "event_us": forecast.event.map(|_| forecast.event_gap().as_micros() as u64),
-        "tokens_per_event": forecast.answer.map(|_| answer.event_tokens),
-        "estimate_spread": answer.spread,
+        "tokens_per_event": forecast.answer.map(|_| lengths.event_tokens),
+        "estimate_spread": lengths.spread,
     })
 }
 
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request at one endpoint: sent once, and matched with its own answer.
+//! One request and its response at one endpoint.
 
 use std::{
     fmt,
@@ -24,94 +24,92 @@
     pool::Pool,
 };
 
-/// Longest time to make a connection. Hosts answer within some milliseconds; a lost first packet is
-/// sent again after a second.
-const CONNECT_LIMIT: Duration = Duration::from_millis(1_200);
-/// Bytes to an endpoint may stay unacknowledged this long before the connection counts as dead.
-const USER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Largest head of an answer, bytes.
-const LARGEST_HEAD: usize = 64 << 10;
-/// Largest answer that is taken whole, bytes: plain answers are a few kilobytes.
-const LARGEST_BODY: usize = 16 << 20;
-/// Answers to other requests that are passed over before the connection counts as spoilt.
-const MOST_STRANGERS: u32 = 2;
-
-/// Why there is no answer.
+/// Timeout for opening a connection; longer than the first TCP retransmission, which follows after 1 s.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// A connection whose sent bytes stay unacknowledged for this long counts as dead.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum size of a response head, bytes.
+const MAX_HEAD: usize = 64 << 10;
+/// Maximum size of a body that is read whole, bytes.
+const MAX_BODY: usize = 16 << 20;
+/// Maximum responses to other requests that are skipped on one connection.
+const MAX_SKIPPED_RESPONSES: u32 = 2;
+
+/// Why an exchange failed.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// Nothing was sent.
-    Unsent(io::Error),
-    /// The request was sent; whether it ran is not known.
-    Broken(Error),
-    /// What came is no answer to this request; whether it ran is not known.
-    Spoilt(&'static str),
-    /// No answer within the limit; whether it ran is not known.
-    Late,
+    /// No connection could be opened; nothing was sent.
+    Connect(io::Error),
+    /// The connection failed after the request was sent; the request may have run.
+    Connection(Error),
+    /// The response is invalid or belongs to another request; the request may have run.
+    InvalidResponse(&'static str),
+    /// No response arrived in time; the request may have run.
+    Timeout,
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unsent(error) => write!(f, "no connection: {error}"),
-            Self::Broken(error) => write!(f, "{error}"),
-            Self::Spoilt(why) => write!(f, "spoilt answer: {why}"),
-            Self::Late => f.write_str("no answer in time"),
+            Self::Connect(error) => write!(f, "connecting failed: {error}"),
+            Self::Connection(error) => write!(f, "{error}"),
+            Self::InvalidResponse(why) => write!(f, "invalid response: {why}"),
+            Self::Timeout => f.write_str("response timed out"),
         }
     }
 }
 
-/// An answer whose head has come.
+/// Exchange whose response head has been read.
 pub(crate) struct Exchange<'a> {
-    /// The head.
     pub(crate) head: Response,
-    /// What it says.
+    /// Decoded fields of the head.
     pub(crate) reply: Reply,
     connection: Connection,
     decoder: Decoder,
-    /// Whether the request's bytes are all out; if not, what follows on the connection would be
-    /// taken for the rest of them.
+    /// Whether the whole request was written. If not, the connection cannot be reused: the endpoint would
+    /// take the next request for the rest of this one.
     is_sent: bool,
     endpoint: &'a Endpoint,
     pool: &'a Pool,
 }
 
 impl Exchange<'_> {
-    /// Whether the endpoint meant has turned the request away because it is another one now.
+    /// Returns whether a different endpoint now listens at the address and refused the request.
     pub(crate) fn is_replaced(&self) -> bool {
         is_replaced(&self.head, &self.reply, self.endpoint)
     }
 
-    /// The next part of the body; `None` at its proper end.
-    pub(crate) async fn part(&mut self) -> Result<Option<Bytes>, Failure> {
-        self.connection.part(&mut self.decoder).await.map_err(Failure::Broken)
+    /// Reads the next chunk of the body; `None` at its regular end.
+    pub(crate) async fn next_chunk(&mut self) -> Result<Option<Bytes>, Failure> {
+        self.connection.part(&mut self.decoder).await.map_err(Failure::Connection)
     }
 
-    /// The whole body; the connection is kept.
-    pub(crate) async fn whole(mut self) -> Result<(Response, Reply, Bytes), Failure> {
-        let body = self.connection.whole(&mut self.decoder, LARGEST_BODY).await.map_err(Failure::Broken)?;
+    /// Reads the whole body and returns the connection to the pool.
+    pub(crate) async fn read_whole(mut self) -> Result<(Response, Reply, Bytes), Failure> {
+        let body = self.connection.whole(&mut self.decoder, MAX_BODY).await.map_err(Failure::Connection)?;
         let (head, reply) = (self.head.clone(), self.reply.clone());
-        self.keep();
+        self.recycle();
         Ok((head, reply, body))
     }
 
-    /// Keeps the connection, if the body has come to its end and both sides go on.
-    pub(crate) fn keep(self) {
+    /// Returns the connection to the pool if it can carry another request.
+    pub(crate) fn recycle(self) {
         if self.is_sent && self.decoder.is_done() && self.head.keeps_alive() {
-            self.pool.keep(self.endpoint, self.connection, self.reply.keep_alive);
+            self.pool.put(self.endpoint, self.connection, self.reply.keep_alive);
         }
     }
 }
 
-/// Sends requests to endpoints.
+/// Sends requests to endpoints over pooled connections.
 #[derive(Clone, Copy)]
-pub(crate) struct Sender<'a> {
+pub(crate) struct Client<'a> {
     pub(crate) pool: &'a Pool,
     pub(crate) dialect: &'a dyn Dialect,
 }
 
-impl<'a> Sender<'a> {
-    /// Sends a request and waits for the head of its answer, `limit` at most. `id` is the request
-    /// that the answer must name.
+impl<'a> Client<'a> {
+    /// Sends a request and waits for the response head, for at most `limit`. `id` is the request id that
+    /// the response must carry.
     pub(crate) async fn send(
         self,
         endpoint: &'a Endpoint,
@@ -124,12 +122,12 @@
         let connection = match self.pool.take(endpoint).await {
             Some(connection) => connection,
             None => {
-                let limit = limit.min(CONNECT_LIMIT);
-                Connection::open(endpoint.address, limit, USER_TIMEOUT).await.map_err(Failure::Unsent)?
+                let limit = limit.min(CONNECT_TIMEOUT);
+                Connection::open(endpoint.address, limit, TCP_USER_TIMEOUT).await.map_err(Failure::Connect)?
             }
         };
         let exchanged = self.exchange(endpoint, connection, head, body, id);
-        timeout(limit.saturating_sub(began.elapsed()), exchanged).await.unwrap_or(Err(Failure::Late))
+        timeout(limit.saturating_sub(began.elapsed()), exchanged).await.unwrap_or(Err(Failure::Timeout))
     }
 
     async fn exchange(
@@ -142,20 +140,21 @@
     ) -> Result<Exchange<'a>, Failure> {
         let bytes = encode(head, body);
         let stream = connection.stream().clone();
-        let mut writing = Writing::new(stream, &bytes);
-        for _ in 0..=MOST_STRANGERS {
-            let response = read_beside(&mut connection, &mut writing).await.map_err(Failure::Broken)?;
+        let mut writing = PendingWrite::new(stream, &bytes);
+        for _ in 0..=MAX_SKIPPED_RESPONSES {
+            let response =
+                read_while_writing(&mut connection, &mut writing).await.map_err(Failure::Connection)?;
             let framing = response.framing(&head.method);
-            let mut decoder = Decoder::new(framing.map_err(spoilt)?);
+            let mut decoder = Decoder::new(framing.map_err(invalid)?);
             let reply = self.dialect.decode_reply(&response);
-            // An informational answer, or one that came late for a request before this one.
-            let is_stranger = response.status < 200 || id.is_some() && reply.id.as_deref() != id;
-            if is_stranger && (response.status < 200 || reply.id.is_some()) {
-                connection.whole(&mut decoder, LARGEST_BODY).await.map_err(Failure::Broken)?;
+            // An informational response, or a late response to an earlier request.
+            let is_unrelated = response.status < 200 || id.is_some() && reply.id.as_deref() != id;
+            if is_unrelated && (response.status < 200 || reply.id.is_some()) {
+                connection.whole(&mut decoder, MAX_BODY).await.map_err(Failure::Connection)?;
                 continue;
             }
-            if is_stranger && response.status < 400 {
-                return Err(Failure::Spoilt("an answer that names no request"));
+            if is_unrelated && response.status < 400 {
+                return Err(Failure::InvalidResponse("the request id is missing"));
             }
             let is_sent = writing.is_done;
             return Ok(Exchange {
@@ -168,11 +167,11 @@
                 pool: self.pool,
             });
         }
-        Err(Failure::Spoilt("answers to other requests"))
+        Err(Failure::InvalidResponse("too many responses to other requests"))
     }
 }
 
-/// Head and body in one piece; the body goes with its length, whatever it came with.
+/// Encodes head and body; the body is sent with a length, even if it arrived in chunks.
 fn encode(head: &Request, body: &[u8]) -> Vec<u8> {
     let mut head = head.clone();
     if !body.is_empty() || head.fields.count("content-length") > 0 {
@@ -183,44 +182,51 @@
     bytes
 }
 
-/// Whether an answer comes from another endpoint than the one meant.
 fn is_replaced(head: &Response, reply: &Reply, endpoint: &Endpoint) -> bool {
     head.status == MISDIRECTED && reply.instance.as_deref().is_some_and(|instance| instance != &*endpoint.id)
 }
 
-/// An endpoint that is not the one meant, or not of the kind asked, answers so.
+/// Status of an endpoint that is not the intended one, or not in the stage for the request.
 pub(crate) const MISDIRECTED: u16 = 421;
 
-/// What it says of an endpoint that it did not run a request: `otherwise`, unless it is another one.
-pub(crate) fn unrun(head: &Response, reply: &Reply, endpoint: &Endpoint, otherwise: Outcome) -> Outcome {
+/// Returns the outcome of a request that was not run: [`Outcome::Replaced`] if a different endpoint
+/// responded, else `otherwise`.
+pub(crate) fn not_run_outcome(
+    head: &Response,
+    reply: &Reply,
+    endpoint: &Endpoint,
+    otherwise: Outcome,
+) -> Outcome {
     if is_replaced(head, reply, endpoint) { Outcome::Replaced } else { otherwise }
 }
 
-/// Whether a status promises the caller that its request has not run.
-pub(crate) fn is_promise(status: u16) -> bool {
+/// Returns whether a status guarantees callers that the request has not run.
+pub(crate) fn is_not_run_status(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
-fn spoilt(why: Malformed) -> Failure {
-    Failure::Spoilt(why.0)
+fn invalid(why: Malformed) -> Failure {
+    Failure::InvalidResponse(why.0)
 }
 
-/// A write that goes on while the answer is read: an endpoint may answer before it has taken a long
+/// Write that continues while the response is read. An endpoint may respond before it has read a long
 /// body.
-struct Writing<'a> {
+struct PendingWrite<'a> {
     future: Pin<Box<dyn Future<Output = io::Result<()>> + Send + 'a>>,
+    /// Whether all bytes were written.
     is_done: bool,
+    /// Whether the write has ended, successfully or not.
     is_over: bool,
 }
 
-impl<'a> Writing<'a> {
+impl<'a> PendingWrite<'a> {
     fn new(mut stream: TcpStream, bytes: &'a [u8]) -> Self {
         let future = Box::pin(async move { stream.write_all(bytes).await });
         Self { future, is_done: false, is_over: false }
     }
 
-    /// Goes on writing. An error is not told here: the answer may have come before it, and if not,
-    /// reading fails too.
+    /// Continues the write. An error is not reported: the response may have arrived before it, and if
+    /// not, reading fails too.
     fn poll(&mut self, cx: &mut Poller<'_>) {
         if self.is_over {
             return;
@@ -232,8 +238,11 @@
     }
 }
 
-async fn read_beside(connection: &mut Connection, writing: &mut Writing<'_>) -> Result<Response, Error> {
-    let mut reading = pin!(connection.response(LARGEST_HEAD));
+async fn read_while_writing(
+    connection: &mut Connection,
+    writing: &mut PendingWrite<'_>,
+) -> Result<Response, Error> {
+    let mut reading = pin!(connection.response(MAX_HEAD));
     poll_fn(|cx| {
         writing.poll(cx);
         reading.as_mut().poll(cx)
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/frontend.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: requests are read one after the other, served, and answered.
+//! Callers' connections: reads requests, serves them one after the other and writes the responses.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -25,53 +25,53 @@
 };
 
 use crate::{
-    answer::Answer,
+    caller::ResponseWriter,
     context::{Context, Inbound},
     edge::Metadata,
     identify::identify,
-    stream, whole,
+    stream, unary,
 };
 
-/// Bytes to a caller may stay unacknowledged this long before the connection counts as dead.
-const CALLER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest time for a body: callers send some kilobytes.
-const BODY_LIMIT: Duration = Duration::from_secs(10);
-/// Bytes that a caller may send ahead while it waits for an answer.
-const MOST_AHEAD: usize = 64 << 10;
-/// How long a refused sender may go on sending: a connection closed with unread bytes is reset, and
-/// the answer is lost with it.
-const LINGER: Duration = Duration::from_millis(500);
-/// Pause after an accept that failed: descriptors may have run out, and come free.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Most connections of callers: of about 3,900 descriptors, most for callers, some for endpoints.
-const MOST_CONNECTIONS: usize = 3_000;
+/// A caller's connection whose sent bytes stay unacknowledged for this long counts as dead.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout for reading a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum bytes that are buffered while a caller waits for a response.
+const MAX_READ_AHEAD: usize = 64 << 10;
+/// How long bytes are still read after the last response. Closing a connection with unread bytes resets it,
+/// and the caller may lose the response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay after a failed accept, for example when file descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Maximum caller connections; leaves file descriptors for connections to endpoints.
+const MAX_CONNECTIONS: usize = 3_000;
 
-/// Takes callers' connections for ever. Dropping the sender of `closing` ends the idle ones.
+/// Accepts callers' connections. Idle connections are closed once the sender of `closing` is dropped.
 pub(crate) async fn accept(context: Arc<Context>, listener: TcpListener, closing: Receiver<()>) {
     let open = Arc::new(());
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                spdlog::warn!("no connection accepted", kv: { reason = error.to_string().as_str() });
-                context.clock.sleep(ACCEPT_PAUSE).await;
+                spdlog::warn!("accepting a connection failed", kv: { reason = error.to_string().as_str() });
+                context.clock.sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if Arc::strong_count(&open) > MOST_CONNECTIONS {
-            spdlog::warn!("connection closed: too many are open");
+        if Arc::strong_count(&open) > MAX_CONNECTIONS {
+            spdlog::warn!("connection limit reached; closing the new connection");
             continue;
         }
         let (context, closing, counted) = (context.clone(), closing.clone(), open.clone());
         task::spawn(async move {
-            converse(&context, stream, &closing).await;
+            serve_connection(&context, stream, &closing).await;
             drop(counted);
         });
     }
 }
 
-async fn converse(context: &Arc<Context>, stream: TcpStream, closing: &Receiver<()>) {
-    let mut connection = Connection::new(stream, CALLER_TIMEOUT);
+async fn serve_connection(context: &Arc<Context>, stream: TcpStream, closing: &Receiver<()>) {
+    let mut connection = Connection::new(stream, TCP_USER_TIMEOUT);
     loop {
         let limits = context.control.catalog().map_or_else(Limits::default, |catalog| catalog.limits());
         if !wait_for_bytes(&mut connection, limits, closing).await {
@@ -87,19 +87,21 @@
             Err(Some(status)) => return reject(&mut connection, status).await,
             Err(None) => return,
         };
-        let close = !head.keeps_alive() || context.is_stopping();
-        let mut answer = Answer::new(connection.stream().clone(), &head.method, head.minor, close);
-        context.running.fetch_add(1, Ordering::Relaxed);
+        let close = !head.keeps_alive() || context.is_shutting_down();
+        let mut writer = ResponseWriter::new(connection.stream().clone(), &head.method, head.minor, close);
+        context.in_flight.fetch_add(1, Ordering::Relaxed);
         let metadata = context.dialect.decode_metadata(&head);
         let id = metadata.id.clone();
-        let served = unless(serve(context, head, body, metadata, &mut answer), gone(&mut connection)).await;
-        context.running.fetch_sub(1, Ordering::Relaxed);
+        let served =
+            run_until(serve(context, head, body, metadata, &mut writer), wait_for_close(&mut connection))
+                .await;
+        context.in_flight.fetch_sub(1, Ordering::Relaxed);
         if served.is_none() {
-            spdlog::info!("caller left", kv: { request = id.as_deref().unwrap_or("-") });
+            spdlog::info!("caller closed its connection", kv: { request = id.as_deref().unwrap_or("-") });
             return;
         }
-        if !answer.keeps_alive() {
-            if answer.is_whole() {
+        if !writer.keeps_alive() {
+            if writer.is_complete() {
                 linger(&mut connection).await;
             }
             return;
@@ -107,19 +109,20 @@
     }
 }
 
-/// Waits for the first bytes of a request; false if the connection is to end.
+/// Waits for the first bytes of a request. Returns false if the connection should be closed.
 async fn wait_for_bytes(connection: &mut Connection, limits: Limits, closing: &Receiver<()>) -> bool {
     if connection.buffered() > 0 {
         return true;
     }
     let closed = async {
-        // Nothing is ever sent: only the end of the channel is waited for.
+        // No message is ever sent; this waits for the channel to close.
         let _ = closing.recv().await;
     };
-    let filled = timeout(limits.idle, unless(connection.fill(), closed)).await;
+    let filled = timeout(limits.idle, run_until(connection.fill(), closed)).await;
     matches!(filled, Ok(Some(Ok(read))) if read > 0)
 }
 
+/// Status to respond with; `None` if the connection failed.
 type Rejection = Option<u16>;
 
 async fn read_head(connection: &mut Connection, limits: Limits) -> Result<Request, Rejection> {
@@ -150,33 +153,35 @@
         written.map_err(|_| None)?;
     }
     let mut decoder = Decoder::new(framing);
-    let read = timeout(BODY_LIMIT, connection.whole(&mut decoder, limits.body)).await;
+    let read = timeout(BODY_TIMEOUT, connection.whole(&mut decoder, limits.body)).await;
     read.map_err(|_| Some(408))?.map_err(rejection(413))
 }
 
-/// Answers what is no request, and ends the connection.
+/// Responds to an invalid request and closes the connection.
 async fn reject(connection: &mut Connection, status: u16) {
     spdlog::info!("request rejected", kv: { status });
     let head = tarragonhill_h1::head::Response::new(status);
-    let mut answer = Answer::new(connection.stream().clone(), "", 1, true);
-    if answer.whole(head, b"").await.is_ok() {
+    let mut writer = ResponseWriter::new(connection.stream().clone(), "", 1, true);
+    if writer.write_whole(head, b"").await.is_ok() {
         linger(connection).await;
     }
 }
 
-/// Ends the sending side and reads on for a moment.
+/// Shuts down the write side and discards incoming bytes for a short time.
 async fn linger(connection: &mut Connection) {
     let _ = connection.stream().shutdown(std::net::Shutdown::Write);
     let drain = async {
-        while connection.buffered() < MOST_AHEAD && matches!(connection.fill().await, Ok(read) if read > 0) {}
+        while connection.buffered() < MAX_READ_AHEAD
+            && matches!(connection.fill().await, Ok(read) if read > 0)
+        {}
     };
-    let _ = timeout(LINGER, drain).await;
+    let _ = timeout(LINGER_TIMEOUT, drain).await;
 }
 
 /// Completes once the caller has closed its connection.
-async fn gone(connection: &mut Connection) {
+async fn wait_for_close(connection: &mut Connection) {
     loop {
-        if connection.buffered() > MOST_AHEAD {
+        if connection.buffered() > MAX_READ_AHEAD {
             return std::future::pending().await;
         }
         match connection.fill().await {
@@ -186,77 +191,87 @@
     }
 }
 
-async fn serve(context: &Arc<Context>, head: Request, body: Bytes, metadata: Metadata, answer: &mut Answer) {
+async fn serve(
+    context: &Arc<Context>,
+    head: Request,
+    body: Bytes,
+    metadata: Metadata,
+    writer: &mut ResponseWriter,
+) {
     let id = metadata.id.clone();
     let received = context.clock.now();
-    context.control.informed(&context.clock).await;
+    context.control.wait_initialized(&context.clock).await;
     let catalog = context.control.catalog();
-    let is_behind = context.control.is_behind();
-    let inbound = match identify(catalog.as_deref(), is_behind, head, body, metadata, received) {
+    let is_stale = context.control.is_stale();
+    let inbound = match identify(catalog.as_deref(), is_stale, head, body, metadata, received) {
         Ok(inbound) => inbound,
-        Err(refusal) => return refuse(context, &refusal, id.as_deref(), answer).await,
+        Err(refusal) => return refuse(context, &refusal, id.as_deref(), writer).await,
     };
     if let Err(refusal) = context.control.admit(inbound.admission.clone()).await {
-        return refuse(context, &refusal, id.as_deref(), answer).await;
+        return refuse(context, &refusal, id.as_deref(), writer).await;
     }
     log_admission(&inbound, catalog.as_deref());
-    let limit = inbound.ends.since(context.clock.now());
-    let served = timeout(limit, carry(context, &inbound, answer)).await;
-    let served = served.map(|served| served.map_err(|refusal| truthful(&inbound, refusal)));
+    let limit = inbound.deadline.since(context.clock.now());
+    let served = timeout(limit, handle(context, &inbound, writer)).await;
+    let served = served.map(|served| served.map_err(|refusal| correct_not_run(&inbound, refusal)));
     let refusal = match served {
         Ok(Ok(())) => None,
-        // A wait at an endpoint ends at the same moment as ours; whichever is seen first.
-        Ok(Err(refusal)) if !refusal.not_run && context.clock.now() >= inbound.ends => {
-            Some(out_of_time(&inbound))
+        // The wait for an endpoint ends at the same deadline, and either timeout may fire first.
+        Ok(Err(refusal)) if !refusal.not_run && context.clock.now() >= inbound.deadline => {
+            Some(deadline_exceeded(&inbound))
         }
         Ok(Err(refusal)) => Some(refusal),
-        Err(_) => Some(out_of_time(&inbound)),
+        Err(_) => Some(deadline_exceeded(&inbound)),
     };
     match refusal {
-        Some(refusal) if answer.is_open() => {
+        Some(refusal) if writer.is_unsent() => {
             if refusal.not_run {
-                context.control.give_back(inbound.admission.clone());
+                context.control.refund(inbound.admission.clone());
             }
-            refuse(context, &refusal, id.as_deref(), answer).await;
+            refuse(context, &refusal, id.as_deref(), writer).await;
         }
         Some(refusal) => {
             spdlog::warn!("stream cut", kv: { request = inbound.id(), reason = refusal.message.as_str() });
         }
         None => {}
     }
-    log_end(context, &inbound, answer);
+    log_end(context, &inbound, writer);
 }
 
-async fn carry(context: &Arc<Context>, inbound: &Inbound, answer: &mut Answer) -> Result<(), Refusal> {
+async fn handle(
+    context: &Arc<Context>,
+    inbound: &Inbound,
+    writer: &mut ResponseWriter,
+) -> Result<(), Refusal> {
     match inbound.route.kind {
-        Kind::Streaming => stream::serve(context, inbound, answer).await,
-        Kind::Idempotent | Kind::NonIdempotent => whole::serve(context, inbound, answer).await,
+        Kind::Streaming => stream::serve(context, inbound, writer).await,
+        Kind::Idempotent | Kind::NonIdempotent => unary::serve(context, inbound, writer).await,
     }
 }
 
-/// A refusal says "not run" of the whole request. Whoever refuses a further try knows only of that one:
-/// an endpoint before it, or beside it, may have run the request and lost the answer.
-fn truthful(inbound: &Inbound, refusal: Refusal) -> Refusal {
+/// Clears the not-run flag of a refusal if an endpoint may have run the request. A refused attempt knows
+/// nothing of earlier or concurrent attempts, whose responses may have been lost.
+fn correct_not_run(inbound: &Inbound, refusal: Refusal) -> Refusal {
     if refusal.not_run && inbound.may_have_run() {
         return Refusal::run(Code::OutcomeUnknown, refusal.message);
     }
     refusal
 }
 
-fn out_of_time(inbound: &Inbound) -> Refusal {
+fn deadline_exceeded(inbound: &Inbound) -> Refusal {
     if inbound.may_have_run() {
-        return Refusal::run(Code::Timeout, "no answer in time");
+        return Refusal::run(Code::Timeout, "no response before the deadline");
     }
-    Refusal::not_run(Code::Overloaded, "no place in time")
+    Refusal::not_run(Code::Overloaded, "no placement before the deadline")
 }
 
-async fn refuse(context: &Context, refusal: &Refusal, id: Option<&str>, answer: &mut Answer) {
+async fn refuse(context: &Context, refusal: &Refusal, id: Option<&str>, writer: &mut ResponseWriter) {
     let code: &'static str = refusal.code.into();
     context.metrics.refusals.with_label_values(&[code]).inc();
     let (head, body) = context.dialect.encode_refusal(refusal, id);
-    let written = answer.whole(head, &body).await;
+    let written = writer.write_whole(head, &body).await;
     spdlog::info!("request refused", kv: {
-        request = id.unwrap_or("-"), code, status = answer.status, not_run = refusal.not_run,
+        request = id.unwrap_or("-"), code, status = writer.status, not_run = refusal.not_run,
         reason = refusal.message.as_str(), told = written.is_ok(),
         retry_after_ms = refusal.retry_after.map_or(0, |span| span.as_millis() as u64)
     });
@@ -266,30 +281,30 @@
     spdlog::info!("request admitted", kv: {
         request = inbound.id(), route = &*inbound.route.name, customer = inbound.customer_name().unwrap_or(""),
         tokens = inbound.admission.tokens, version = catalog.map_or(0, Catalog::version),
-        left_ms = inbound.ends.since(inbound.received).as_millis() as u64
+        left_ms = inbound.deadline.since(inbound.received).as_millis() as u64
     });
 }
 
-fn log_end(context: &Context, inbound: &Inbound, answer: &Answer) {
+fn log_end(context: &Context, inbound: &Inbound, writer: &ResponseWriter) {
     let kind = inbound.route.kind.to_string();
-    let status = answer.status.to_string();
+    let status = writer.status.to_string();
     context.metrics.requests.with_label_values(&[kind.as_str(), status.as_str()]).inc();
     let took = context.clock.now().since(inbound.received);
     let tokens = inbound.metadata.tokens.unwrap_or_default();
-    if answer.pace.events > 0 {
-        context.metrics.gaps.observe(answer.pace.longest_gap.as_secs_f64());
+    if writer.timing.events > 0 {
+        context.metrics.longest_gaps.observe(writer.timing.longest_gap.as_secs_f64());
     }
     spdlog::info!("request ended", kv: {
         request = inbound.id(), route = &*inbound.route.name, customer = inbound.customer_name().unwrap_or(""),
-        status = answer.status, whole = answer.is_whole(), ms = took.as_millis() as u64,
+        status = writer.status, whole = writer.is_complete(), ms = took.as_millis() as u64,
         prompt = tokens.prompt, output = tokens.output, expected = tokens.expected.unwrap_or(0),
-        events = answer.pace.events, first_ms = answer.pace.first_after(inbound.received).as_millis() as u64,
-        longest_gap_ms = answer.pace.longest_gap.as_millis() as u64
+        events = writer.timing.events, first_ms = writer.timing.time_to_first(inbound.received).as_millis() as u64,
+        longest_gap_ms = writer.timing.longest_gap.as_millis() as u64
     });
 }
 
-/// Runs `work`, or tells that `until` came first.
-async fn unless<T>(work: impl Future<Output = T>, until: impl Future<Output = ()>) -> Option<T> {
+/// Runs `work` to its end, or returns `None` if `until` completes first.
+async fn run_until<T>(work: impl Future<Output = T>, until: impl Future<Output = ()>) -> Option<T> {
     let work = async { Some(work.await) };
     let until = async {
         until.await;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/gossip.rs
@@ -1,7 +1,6 @@
-//! Digests to and from the other entries, as datagrams.
+//! Exchange of digests with the other gateways over UDP.
 //!
-//! A digest holds totals, so a lost datagram needs no repeat; and unlike a connection, a socket for
-//! datagrams cannot go silent for good.
+//! A digest holds running totals, so a lost datagram needs no retransmission.
 
 use std::{io, net::SocketAddr, sync::Arc};
 
@@ -13,48 +12,48 @@
 
 use crate::control::{Control, worker::Outgoing};
 
-/// Largest datagram, bytes: what UDP carries.
-const LARGEST: usize = 65_507;
+/// Maximum UDP payload over IPv4, bytes.
+const MAX_DATAGRAM: usize = 65_507;
 
 /// Opens the socket for digests.
 pub(crate) async fn bind(address: SocketAddr) -> io::Result<Arc<UdpSocket>> {
     Ok(Arc::new(UdpSocket::bind(address).await?))
 }
 
-/// Sends what the control thread gives, for ever.
+/// Sends the control thread's digests until the channel closes.
 pub(crate) async fn send(socket: Arc<UdpSocket>, outgoing: Receiver<Outgoing>) {
     let mut was_too_large = false;
     while let Ok((digest, members)) = outgoing.recv().await {
         let bytes = proto::Digest::from(&digest).encode_to_vec();
-        let is_too_large = bytes.len() > LARGEST;
+        let is_too_large = bytes.len() > MAX_DATAGRAM;
         if is_too_large && !was_too_large {
-            // Nobody hears this entry, which shares rates and endpoints with all.
-            spdlog::error!("digest too large to be sent", kv: { bytes = bytes.len(), most = LARGEST });
+            // The peers receive nothing from this gateway, although it uses the shared rates and endpoints.
+            spdlog::error!("digest exceeds the maximum datagram size", kv: { bytes = bytes.len(), most = MAX_DATAGRAM });
         }
         was_too_large = is_too_large;
         for member in members {
             if let Err(error) = socket.send_to(&bytes, member.address).await {
-                spdlog::debug!("digest not sent", kv: { peer = &*member.name, reason = error.to_string().as_str() });
+                spdlog::debug!("sending a digest failed", kv: { peer = &*member.name, reason = error.to_string().as_str() });
             }
         }
     }
 }
 
-/// Gives the control thread what the others send, for ever.
+/// Passes received digests to the control thread.
 pub(crate) async fn receive(socket: Arc<UdpSocket>, control: Control) {
-    let mut bytes = vec![0; LARGEST];
+    let mut bytes = vec![0; MAX_DATAGRAM];
     loop {
         let (length, from) = match socket.recv_from(&mut bytes).await {
             Ok(received) => received,
             Err(error) => {
-                // A port that nobody listens on shows here; the next datagram may be fine.
-                spdlog::debug!("digest not received", kv: { reason = error.to_string().as_str() });
+                // Also reports an earlier datagram to a closed port; later datagrams may still arrive.
+                spdlog::debug!("receiving a digest failed", kv: { reason = error.to_string().as_str() });
                 continue;
             }
         };
         match decode(&bytes[..length]) {
-            Some(digest) => control.digest(digest, from),
-            None => spdlog::warn!("digest unreadable", kv: { from = from.to_string().as_str() }),
+            Some(digest) => control.receive_digest(digest, from),
+            None => spdlog::warn!("invalid digest received", kv: { from = from.to_string().as_str() }),
         }
     }
 }
--- a/crates/gateway/src/identify.rs
+++ b/crates/gateway/src/identify.rs
@@ -1,4 +1,4 @@
-//! Finds a request's route, customer and service.
+//! Resolves a request to its route, customer and service.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,32 +17,31 @@
 
 use crate::{context::Inbound, edge::Metadata};
 
-/// What callers are told while this entry has not read a configuration yet. A process that starts reads
-/// one within some 30 ms, or the store is away, for some seconds: callers told 0.5 s came back into the
-/// same outage and were lost, while one that bears no more than a second comes back sooner anyhow.
-const NO_CATALOG: Duration = Duration::from_secs(2);
-/// What callers of unknown routes are told while another entry has a newer configuration.
-const RETRY_BEHIND: Duration = Duration::from_millis(500);
+/// Retry delay for callers while this gateway has no configuration. Without one after startup, the store is
+/// unreachable, and an early retry would be refused as well.
+const RETRY_WITHOUT_CATALOG: Duration = Duration::from_secs(2);
+/// Retry delay for unknown routes and keys while a peer has a newer configuration.
+const RETRY_WHILE_STALE: Duration = Duration::from_millis(500);
 
-/// Finds out what a request is.
+/// Resolves a request, or refuses it if its route or key is unknown.
 pub(crate) fn identify(
     catalog: Option<&Catalog>,
-    is_behind: bool,
+    is_stale: bool,
     head: Request,
     body: Bytes,
     metadata: Metadata,
     received: Time,
 ) -> Result<Inbound, Refusal> {
     let found = match catalog {
-        Some(catalog) => look_up(catalog, &head, &metadata).map_err(|unknown| refusal(unknown, is_behind)),
+        Some(catalog) => look_up(catalog, &head, &metadata).map_err(|unknown| refusal(unknown, is_stale)),
         None => {
             let refusal = Refusal::not_run(Code::SettingsUnconfirmed, "no configuration is known yet");
-            Err(refusal.retry_after(NO_CATALOG))
+            Err(refusal.retry_after(RETRY_WITHOUT_CATALOG))
         }
     };
     let (route, customer) = found?;
     let admission = Admission {
-        tokens: customer.as_ref().map_or(0, |customer| counted(customer, &metadata)),
+        tokens: customer.as_ref().map_or(0, |customer| token_cost(customer, &metadata)),
         service: route.service(rand::rng().random()).clone(),
         fingerprint: fingerprint(customer.as_ref().map_or("", |customer| &*customer.name), &head, &body),
         customer,
@@ -50,8 +49,8 @@
     Ok(Inbound::new(head, body, metadata, route, admission, received))
 }
 
-/// What a request takes of its customer's rate.
-fn counted(customer: &Customer, metadata: &Metadata) -> u64 {
+/// Returns the tokens that a request takes from its customer's token bucket.
+fn token_cost(customer: &Customer, metadata: &Metadata) -> u64 {
     let tokens = metadata.tokens.filter(|_| customer.by_tokens);
     tokens.map_or(customer.flat, |tokens| tokens.prompt + tokens.output)
 }
@@ -65,19 +64,19 @@
     Ok((route.clone(), customer.cloned()))
 }
 
-fn refusal(unknown: Unknown, is_behind: bool) -> Refusal {
+fn refusal(unknown: Unknown, is_stale: bool) -> Refusal {
     match unknown {
-        // A final answer would be wrong if the route or key is one that has just been added.
-        _ if is_behind => {
+        // The route or key may have just been added, so the refusal must allow a retry.
+        _ if is_stale => {
             let message = "a newer configuration may know the route and the key";
-            Refusal::not_run(Code::SettingsUnconfirmed, message).retry_after(RETRY_BEHIND)
+            Refusal::not_run(Code::SettingsUnconfirmed, message).retry_after(RETRY_WHILE_STALE)
         }
-        Unknown::Route => Refusal::not_run(Code::NotFound, "no route leads there"),
+        Unknown::Route => Refusal::not_run(Code::NotFound, "no route matches the request"),
         Unknown::Key => Refusal::not_run(Code::BadKey, "the key is unknown"),
     }
 }
 
-/// Tells requests apart by who sends what where; the same request sent again has the same.
+/// Hashes customer, method, target and body. A repeated request has the same fingerprint.
 fn fingerprint(customer: &str, head: &Request, body: &[u8]) -> u64 {
     let mut hash = Xxh3::new();
     for part in [customer.as_bytes(), head.method.as_bytes(), head.target.as_bytes(), body] {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,26 +1,26 @@
-//! Passes requests on, byte for byte: callers' connections on one side, endpoints on the other.
+//! Proxy between callers and endpoints: routes requests and relays responses.
 //!
-//! A request goes through a short pipeline: it is read, identified, admitted, placed, sent, and its
-//! answer passed back. [`front`] reads and writes callers' connections, [`identify`] finds route and
-//! customer, [`whole`] and [`stream`] carry the two kinds of answers, [`exchange`] speaks with one
-//! endpoint. All decisions are in [`tarragonhill_core::gateway`], owned by the [`control`] thread.
-//! How heads are spelled on either side is the business of an [`edge::Dialect`].
+//! A request is read, identified, admitted, placed on an endpoint and sent, and the response is relayed to
+//! the caller. [`frontend`] handles callers' connections, [`identify`] finds the route and the customer,
+//! [`unary`] and [`stream`] handle the two kinds of responses, and [`exchange`] performs one request at one
+//! endpoint. Admission and placement are decided by [`tarragonhill_core::gateway`], whose state belongs to
+//! the [`control`] thread. An [`edge::Dialect`] encodes and decodes the messages on both sides.
 
-pub mod answer;
+pub mod caller;
 mod context;
 pub mod control;
 pub mod edge;
 pub mod exchange;
-mod front;
-mod handover;
+mod frontend;
+mod gossip;
 mod identify;
 pub mod metrics;
 mod orders;
-mod pace;
-mod peers;
 mod pool;
 mod server;
 mod stream;
-mod whole;
+mod sync;
+mod timing;
+mod unary;
 
 pub use server::{Gateway, Settings, StartError, Store, View};
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -1,4 +1,4 @@
-//! Carries out the orders that the control thread decides, one after the other.
+//! Sends the control thread's orders to endpoints, one at a time.
 
 use std::{
     sync::Arc,
@@ -16,91 +16,92 @@
     edge::{Claims, Message, Report, StageChange},
 };
 
-/// Longest time for an endpoint to answer a report or an order.
-const LIMIT: Duration = Duration::from_millis(800);
+/// Response timeout for reports and orders.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Debug)]
-enum End {
-    /// The endpoint carries it out, or has done so before.
-    Taken,
-    /// It may be carried out: there was no answer.
+enum Delivery {
+    /// The endpoint accepted the order.
+    Accepted,
+    /// The endpoint did not respond and may have accepted the order.
     Unknown(String),
-    /// It will not be carried out.
+    /// The order was not sent, or the endpoint refused it.
     Dropped(String),
 }
 
-/// Carries out orders for ever.
-pub(crate) async fn carry_out(
+/// Sends orders until the channel closes.
+pub(crate) async fn run(
     context: Arc<Context>,
     holder: Arc<str>,
     orders: Receiver<Order>,
     mut claims: Box<dyn Claims>,
 ) {
     while let Ok(order) = orders.recv().await {
-        let end = give(&context, &holder, &order, &mut *claims).await;
-        let (outcome, reason) = match &end {
-            End::Taken => ("taken", ""),
-            End::Unknown(reason) => ("unknown", reason.as_str()),
-            End::Dropped(reason) => ("dropped", reason.as_str()),
+        let delivery = deliver(&context, &holder, &order, &mut *claims).await;
+        let (outcome, reason) = match &delivery {
+            Delivery::Accepted => ("taken", ""),
+            Delivery::Unknown(reason) => ("unknown", reason.as_str()),
+            Delivery::Dropped(reason) => ("dropped", reason.as_str()),
         };
         let stage: &'static str = order.stage.into();
         spdlog::info!("order", kv: { endpoint = &*order.endpoint.id, stage, outcome, reason });
-        // What may have been taken is left alone until the list shows it, or for long enough.
-        if matches!(end, End::Dropped(_)) {
-            context.control.order_dropped(&order.endpoint.id);
+        // An order that may have been accepted stays pending until the endpoint list shows the change or the
+        // order expires.
+        if matches!(delivery, Delivery::Dropped(_)) {
+            context.control.drop_order(&order.endpoint.id);
         }
     }
 }
 
-async fn give(context: &Context, holder: &str, order: &Order, claims: &mut dyn Claims) -> End {
+async fn deliver(context: &Context, holder: &str, order: &Order, claims: &mut dyn Claims) -> Delivery {
     let report = match report(context, order).await {
         Ok(report) => report,
-        Err(reason) => return End::Dropped(reason),
+        Err(reason) => return Delivery::Dropped(reason),
     };
     if report.stage == order.stage || report.is_busy {
-        return End::Dropped("the endpoint has changed or is about to".into());
+        return Delivery::Dropped("the endpoint has changed its stage or is changing it".into());
     }
     let began = Instant::now();
     let fencing_token = match claim(holder, claims).await {
         Ok(fencing_token) => fencing_token,
-        Err(reason) => return End::Dropped(reason),
+        Err(reason) => return Delivery::Dropped(reason),
     };
-    // A process that was held up between the claim and the order might speak into the next
-    // holder's turn.
+    // If this process was suspended after writing the claim, another gateway may hold it by now.
     if began.elapsed() >= TERM {
-        return End::Dropped("the claim is too old".into());
+        return Delivery::Dropped("the claim has expired".into());
     }
     let change =
         StageChange { stage: order.stage, holder, fencing_token, expected_revision: report.revision };
     let message = context.dialect.change_stage(&order.endpoint, &change);
-    match ask(context, order, &message).await {
-        Ok((200 | 202, _)) => End::Taken,
-        Ok((status, _)) => End::Dropped(format!("status {status}")),
-        Err(reason) => End::Unknown(reason),
+    match send(context, order, &message).await {
+        Ok((200 | 202, _)) => Delivery::Accepted,
+        Ok((status, _)) => Delivery::Dropped(format!("status {status}")),
+        Err(reason) => Delivery::Unknown(reason),
     }
 }
 
-/// Writes the claim; gives the fencing token.
+/// Writes the claim and returns the fencing token.
 async fn claim(holder: &str, claims: &mut dyn Claims) -> Result<u64, String> {
     let reading = claims.read().await?;
-    let version = may_claim(&reading, holder).ok_or("another entry has the claim")?;
+    let version = may_claim(&reading, holder).ok_or("another gateway holds the claim")?;
     let written = claims.write(holder, reading.now_ms, version).await?;
-    written.ok_or_else(|| "another entry was faster".into())
+    written.ok_or_else(|| "another gateway wrote the claim first".into())
 }
 
 async fn report(context: &Context, order: &Order) -> Result<Report, String> {
     let message = context.dialect.request_report(&order.endpoint);
-    let (status, body) = ask(context, order, &message).await?;
+    let (status, body) = send(context, order, &message).await?;
     if status != 200 {
         return Err(format!("report: status {status}"));
     }
-    context.dialect.decode_report(&body).ok_or_else(|| "report unreadable".into())
+    context.dialect.decode_report(&body).ok_or_else(|| "invalid report".into())
 }
 
-async fn ask(context: &Context, order: &Order, message: &Message) -> Result<(u16, bytes::Bytes), String> {
-    let sent = context.sender().send(&order.endpoint, &message.head, &message.body, None, LIMIT).await;
+async fn send(context: &Context, order: &Order, message: &Message) -> Result<(u16, bytes::Bytes), String> {
+    let sent =
+        context.client().send(&order.endpoint, &message.head, &message.body, None, RESPONSE_TIMEOUT).await;
     let exchange = sent.map_err(|failure| failure.to_string())?;
-    let (head, _, body) = exchange.whole().await.map_err(|failure| failure.to_string())?;
+    let (head, _, body) = exchange.read_whole().await.map_err(|failure| failure.to_string())?;
     Ok((head.status, body))
 }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints that are kept between requests.
+//! Pool of idle connections to endpoints.
 
 use std::{
     collections::BTreeMap,
@@ -9,13 +9,13 @@
 use tarragonhill_core::{Clock, Time, gateway::directory::Endpoint};
 use tarragonhill_h1::Connection;
 
-/// Idle connections kept to one endpoint: above what runs there at once in an ordinary burst.
-const MOST_IDLE: usize = 16;
-/// A connection is kept this long if the endpoint does not say how long it keeps it.
-const DEFAULT_IDLE: Duration = Duration::from_secs(4);
-/// A connection is given up this long before the endpoint closes it: a request that crosses the
-/// close is lost, and one that may not be repeated is then lost for good.
-const MARGIN: Duration = Duration::from_millis(700);
+/// Maximum idle connections per endpoint.
+const MAX_IDLE: usize = 16;
+/// Keep-alive time of endpoints that announce none.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// A connection is dropped this long before the endpoint would close it. A request sent while the endpoint
+/// closes the connection is lost, and not every request may be retried.
+const CLOSE_MARGIN: Duration = Duration::from_millis(700);
 
 #[derive(Debug)]
 struct Idle {
@@ -23,11 +23,11 @@
     until: Time,
 }
 
-/// The kept connections of all endpoints.
+/// Idle connections of all endpoints.
 #[derive(Debug)]
 pub(crate) struct Pool {
     clock: Clock,
-    /// By the endpoint's name; newest last.
+    /// By endpoint id; the most recently used is last.
     idle: Mutex<BTreeMap<Arc<str>, Vec<Idle>>>,
 }
 
@@ -36,23 +36,23 @@
         Self { clock, idle: Mutex::default() }
     }
 
-    /// A kept connection on which nothing has happened since.
+    /// Takes an idle connection that is still open and has no unread bytes.
     pub(crate) async fn take(&self, endpoint: &Endpoint) -> Option<Connection> {
         loop {
             let idle = {
                 let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
                 all.get_mut(&endpoint.id)?.pop()?
             };
-            // What came in between belongs to no request of ours: a second answer, or the close.
+            // Bytes that arrived while the connection was idle would be taken for the next response.
             if idle.until > self.clock.now() && idle.connection.is_quiet().await {
                 return Some(idle.connection);
             }
         }
     }
 
-    /// Keeps a connection whose last answer is whole.
-    pub(crate) fn keep(&self, endpoint: &Endpoint, connection: Connection, keep_alive: Option<Duration>) {
-        let span = keep_alive.unwrap_or(DEFAULT_IDLE).saturating_sub(MARGIN);
+    /// Returns a connection whose last response has been read completely.
+    pub(crate) fn put(&self, endpoint: &Endpoint, connection: Connection, keep_alive: Option<Duration>) {
+        let span = keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).saturating_sub(CLOSE_MARGIN);
         if span.is_zero() || connection.buffered() > 0 {
             return;
         }
@@ -63,7 +63,7 @@
             !kept.is_empty()
         });
         let kept = all.entry(endpoint.id.clone()).or_default();
-        if kept.len() < MOST_IDLE {
+        if kept.len() < MAX_IDLE {
             kept.push(Idle { connection, until: now.plus(span) });
         }
     }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! A running gateway.
+//! Startup, shutdown and status of a gateway.
 
 use std::{
     fmt, io,
@@ -22,61 +22,62 @@
 };
 
 use crate::{
-    context::{Context, Stop},
+    context::{Context, Shutdown},
     control::{
-        PROMPT_SHOWN,
-        worker::{self, Outlets},
+        FORECAST_PROMPT_TOKENS,
+        worker::{self, Outputs},
     },
     edge::{Claims, Dialect, Update},
-    front, handover,
+    frontend, gossip,
     metrics::Metrics,
-    orders, peers,
+    orders,
     pool::Pool,
+    sync,
 };
 
-/// How often a shutdown looks whether everything has ended.
+/// Interval at which a shutdown checks for requests in flight.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
-/// Digests that may wait to be sent: the next says the same and more.
-const DIGESTS: usize = 2;
+/// Capacity of the digest channel. Small, because each digest supersedes the one before.
+const DIGEST_CAPACITY: usize = 2;
 
-/// Orders that may wait to be given.
-const ORDERS: usize = 4;
+/// Capacity of the order channel.
+const ORDER_CAPACITY: usize = 4;
 
-/// The gateway's edge to the store.
+/// The gateway's access to the store.
 pub struct Store {
-    /// What the store tells.
+    /// Updates read from the store.
     pub updates: Receiver<Update>,
-    /// The claim on orders.
+    /// Claim that allows a gateway to send orders.
     pub claims: Box<dyn Claims>,
 }
 
 /// Settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its name, unique in the fleet.
+    /// Name, unique in the fleet.
     pub name: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: Arc<str>,
-    /// Where callers reach it.
+    /// Listen address for callers.
     pub listen: SocketAddr,
-    /// Where other entries send digests.
+    /// Listen address for digests (UDP) and snapshots (TCP).
     pub peer: SocketAddr,
-    /// Tells starts of one name apart; drawn at random.
+    /// Random number that distinguishes restarts under the same name.
     pub incarnation: u64,
-    /// How often requests may be sent to a further endpoint.
+    /// Retry budget.
     pub retries: Rule,
-    /// How long new connections still come after it has said that it is leaving.
+    /// How long new connections are accepted after the gateway has reported that it is not ready.
     pub drain_delay: Duration,
-    /// Longest time from the order to stop to the end.
+    /// Maximum duration of a shutdown, including `drain_delay`.
     pub grace: Duration,
 }
 
-/// Why a gateway does not start.
+/// Why a gateway did not start.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address cannot be listened on.
+    /// Listening on an address failed.
     Listen(SocketAddr, io::Error),
-    /// A thread cannot be started.
+    /// Starting a thread failed.
     Thread(io::Error),
 }
 
@@ -91,19 +92,19 @@
 
 impl std::error::Error for StartError {}
 
-/// A running gateway.
+/// Running gateway.
 pub struct Gateway {
     address: SocketAddr,
     peer: SocketAddr,
     context: Arc<Context>,
     settings: Settings,
     tasks: Tasks,
-    /// Dropped to end callers' idle connections.
+    /// Dropped to close callers' idle connections.
     closing: Sender<()>,
 }
 
 impl Gateway {
-    /// Starts a gateway on a store.
+    /// Starts a gateway and registers its metrics.
     pub async fn start(
         settings: Settings,
         clock: Clock,
@@ -115,7 +116,7 @@
         let listener = listener.map_err(|error| StartError::Listen(settings.listen, error))?;
         let address = listener.local_addr().map_err(|error| StartError::Listen(settings.listen, error))?;
         let failed = |error| StartError::Listen(settings.peer, error);
-        let socket = peers::bind(settings.peer).await.map_err(failed)?;
+        let socket = gossip::bind(settings.peer).await.map_err(failed)?;
         let peer = socket.local_addr().map_err(failed)?;
         let (incoming, _) = tarragonhill_wire::listen(peer).map_err(failed)?;
         let identity = Identity {
@@ -124,10 +125,10 @@
             incarnation: settings.incarnation,
             address: peer,
         };
-        let (digests, to_tell) = async_channel::bounded(DIGESTS);
-        let (orders, ordered) = async_channel::bounded(ORDERS);
-        let outgoing = Outlets { digests, orders };
-        let control = worker::start(identity, settings.retries, clock.clone(), outgoing);
+        let (digests, outgoing_digests) = async_channel::bounded(DIGEST_CAPACITY);
+        let (orders, outgoing_orders) = async_channel::bounded(ORDER_CAPACITY);
+        let outputs = Outputs { digests, orders };
+        let control = worker::start(identity, settings.retries, clock.clone(), outputs);
         let control = control.map_err(StartError::Thread)?;
         let context = Arc::new(Context {
             pool: Pool::new(clock.clone()),
@@ -135,38 +136,38 @@
             control: control.clone(),
             dialect,
             metrics: Metrics::new(registry),
-            stop: OnceLock::new(),
-            running: AtomicUsize::new(0),
+            shutdown: OnceLock::new(),
+            in_flight: AtomicUsize::new(0),
         });
         let (closing, closed) = async_channel::bounded(1);
         let tasks = Tasks(vec![
-            task::spawn(front::accept(context.clone(), listener, closed)),
-            task::spawn(peers::send(socket.clone(), to_tell)),
-            task::spawn(peers::receive(socket, control.clone())),
-            task::spawn(learn(store.updates, context.clone())),
-            handover::serve(incoming, control),
-            task::spawn(handover::learn(context.clone())),
-            task::spawn(orders::carry_out(context.clone(), settings.name.clone(), ordered, store.claims)),
+            task::spawn(frontend::accept(context.clone(), listener, closed)),
+            task::spawn(gossip::send(socket.clone(), outgoing_digests)),
+            task::spawn(gossip::receive(socket, control.clone())),
+            task::spawn(apply_updates(store.updates, context.clone())),
+            sync::serve(incoming, control),
+            task::spawn(sync::run(context.clone())),
+            task::spawn(orders::run(context.clone(), settings.name.clone(), outgoing_orders, store.claims)),
         ]);
         Ok(Self { address, peer, context, settings, tasks, closing })
     }
 
-    /// Where callers reach it.
+    /// Returns the bound address for callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where other entries reach it.
+    /// Returns the bound address for peers.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer
     }
 
-    /// A view of it for the admin address.
+    /// Returns a handle for the admin address.
     pub fn view(&self) -> View {
         View(self.context.clone())
     }
 
-    /// Ends at once, as a crash would: nobody is told, and nothing is finished.
+    /// Cancels all tasks at once, as in a crash: without notice to peers and without a drain.
     pub async fn kill(self) {
         let Self { mut tasks, .. } = self;
         for task in tasks.0.drain(..) {
@@ -174,64 +175,67 @@
         }
     }
 
-    /// Stops: says that it is leaving, serves what still comes for a while, ends idle connections,
-    /// lets running requests end, and gives up at the end of the grace.
+    /// Shuts down: reports that the gateway is not ready, accepts connections until the drain delay is over,
+    /// closes idle connections and waits for requests in flight until the grace period ends.
     pub async fn shutdown(self) {
         let Self { context, settings, tasks, closing, .. } = self;
         let clock = context.clock.clone();
         let began = clock.now();
-        let stop = Stop { noticed: began.plus(settings.drain_delay), ends: began.plus(settings.grace) };
-        // Set once only: shutdown takes the gateway itself.
-        let _ = context.stop.set(stop);
-        // Callers are sent here until the balancer has noticed; a closed door would turn them away.
+        let shutdown = Shutdown {
+            drain_delay_ends: began.plus(settings.drain_delay),
+            deadline: began.plus(settings.grace),
+        };
+        // Cannot be set already, because this method consumes the gateway.
+        let _ = context.shutdown.set(shutdown);
+        // Until the load balancer notices, it sends callers here; they must still be served.
         clock.sleep(settings.drain_delay.min(settings.grace)).await;
         drop(closing);
         while clock.now().since(began) < settings.grace {
-            if context.running.load(Ordering::Relaxed) == 0 {
-                // A request may just be on its way: it shows up within one poll.
+            if context.in_flight.load(Ordering::Relaxed) == 0 {
+                // A request that has just arrived may not be counted yet, so the count is checked twice.
                 clock.sleep(DRAIN_POLL).await;
-                if context.running.load(Ordering::Relaxed) == 0 {
+                if context.in_flight.load(Ordering::Relaxed) == 0 {
                     break;
                 }
             }
             clock.sleep(DRAIN_POLL).await;
         }
-        let cut = context.running.load(Ordering::Relaxed);
+        let cut = context.in_flight.load(Ordering::Relaxed);
         drop(tasks);
         spdlog::info!("gateway stopped", kv: { cut });
     }
 }
 
-/// Tasks that end when this is dropped.
+/// Tasks that are cancelled on drop.
 struct Tasks(Vec<JoinHandle<()>>);
 
 impl Drop for Tasks {
     fn drop(&mut self) {
-        // A dropped handle would only detach its task.
+        // Dropping a handle would only detach its task.
         for task in self.0.drain(..) {
             task::spawn(task.cancel());
         }
     }
 }
 
-/// What the admin address tells of a gateway.
+/// Status of a gateway for its admin address.
 #[derive(Clone)]
 pub struct View(Arc<Context>);
 
 impl View {
-    /// Whether callers may be sent here: the configuration is known, and the process goes on.
+    /// Returns whether callers may be sent here: a configuration is known and no shutdown is in progress.
     pub fn is_ready(&self) -> bool {
-        self.0.control.catalog().is_some() && !self.0.is_stopping()
+        self.0.control.catalog().is_some() && !self.0.is_shutting_down()
     }
 
-    /// Brings those metrics up to date that are read off the state.
+    /// Updates the metrics that are derived from the routing state.
     pub async fn update_metrics(&self) {
         let version = self.0.control.catalog().map_or(0, |catalog| catalog.version());
         self.0.metrics.version.set(i64::try_from(version).unwrap_or(i64::MAX));
         for (service, forecast) in self.0.control.forecasts().await {
             let times = [
-                ("reading", forecast.reading_time(PROMPT_SHOWN)),
-                ("first_event", forecast.first_event(PROMPT_SHOWN)),
+                ("reading", forecast.reading_time(FORECAST_PROMPT_TOKENS)),
+                ("first_event", forecast.first_event(FORECAST_PROMPT_TOKENS)),
                 ("event", forecast.event_gap()),
             ];
             for (part, time) in times {
@@ -241,13 +245,13 @@
         }
     }
 
-    /// What the process believes.
+    /// Returns the routing state.
     pub async fn dump(&self) -> serde_json::Value {
         self.0.control.dump().await
     }
 }
 
-async fn learn(updates: Receiver<Update>, context: Arc<Context>) {
+async fn apply_updates(updates: Receiver<Update>, context: Arc<Context>) {
     while let Ok(update) = updates.recv().await {
         if let Update::StoreLost { what, .. } = &update {
             context.metrics.store_losses.with_label_values(&[what]).inc();
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,14 +1,14 @@
-//! Requests whose answers are streams of events: completions.
+//! Requests whose responses are streams of events: completions.
 //!
-//! On split services a run takes three steps: memory is reserved where tokens will be made, the
-//! prompt is read elsewhere, and the run starts from its result. No prompt is read before its place
-//! is promised, so none is read in vain for want of memory.
+//! On split services, a completion takes three steps: memory is reserved at a decode endpoint, the prompt is
+//! prefilled at a prefill endpoint, and the decode starts from the prefill result. The reservation comes
+//! first, so that no prefill is wasted for lack of memory.
 
 mod events;
-mod passing;
-mod placing;
-mod reading;
-mod release;
+mod placement;
+mod prefill;
+mod relay;
+mod resource;
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,52 +21,51 @@
 use tarragonhill_h1::head::Response;
 
 use self::{
-    passing::{SILENCE_SLACK, pass_on},
-    placing::{Placing, lease_endpoint},
-    reading::read_prompt,
-    release::Release,
+    placement::{Placement, place},
+    prefill::run_prefill,
+    relay::{SILENCE_SLACK, relay},
+    resource::Guard,
 };
 use crate::{
-    answer::Answer,
+    caller::ResponseWriter,
     context::{Context, Inbound},
-    control::Ticket,
+    control::Permit,
     edge::{Decode, Task},
-    exchange::{Exchange, Failure, MISDIRECTED, is_promise, unrun},
+    exchange::{Exchange, Failure, MISDIRECTED, is_not_run_status, not_run_outcome},
 };
 
-/// Most times that a request is sent on when endpoints turn it away unrun.
-const MOST_SENDS: u32 = 4;
-/// What callers are told to wait that another entry can serve at once.
-const ELSEWHERE: Duration = Duration::from_millis(50);
+/// Maximum times that a request is sent, including retries.
+const MAX_SENDS: u32 = 4;
+/// Retry delay for callers that another gateway can serve at once.
+const RETRY_ELSEWHERE: Duration = Duration::from_millis(50);
 
-/// One request's way through its runs.
+/// Progress of a request over its attempts.
 struct Progress {
-    /// The last event that the caller has.
+    /// Id of the last event that the caller received.
     last_event: Option<Arc<str>>,
-    /// Endpoints that failed it.
+    /// Endpoints where an attempt failed.
     avoid: Vec<Arc<str>>,
-    /// Endpoints that may have run it.
+    /// Number of endpoints that may have run the request.
     runs: u32,
 }
 
-/// A run that has begun.
-struct Run<'a> {
+/// Response of an endpoint whose head has been read.
+struct Upstream<'a> {
     exchange: Exchange<'a>,
-    ticket: Ticket,
-    /// When it was sent.
+    permit: Permit,
+    /// When the request was sent to the endpoint.
     sent: Time,
-    /// What its first event tells of its endpoint.
     start: Start,
 }
 
-/// How a run starts, as far as its first event tells how fast its endpoint is.
+/// How an attempt starts, which determines what the time to its first event measures.
 #[derive(Clone, Copy)]
 enum Start {
-    /// From a prompt read elsewhere.
-    FromResult,
-    /// With reading the prompt.
-    FromPrompt,
-    /// Behind some event, or as a whole request: its time compares with no other's.
+    /// From a prefill result.
+    FromPrefill,
+    /// With a prefill at the decode endpoint.
+    WithPrefill,
+    /// By resuming a stream or as a whole request; these times are not comparable.
     Other,
 }
 
@@ -74,83 +73,84 @@
     fn of(task: &Task<'_>) -> Self {
         match task {
             Task::Decode(Decode { last_event: Some(_), .. }) | Task::Prefill | Task::Whole => Self::Other,
-            Task::Decode(Decode { source: Some(_), .. }) => Self::FromResult,
-            Task::Decode(_) => Self::FromPrompt,
+            Task::Decode(Decode { source: Some(_), .. }) => Self::FromPrefill,
+            Task::Decode(_) => Self::WithPrefill,
         }
     }
 
+    /// Returns the observation for a first event that came after `took`.
     fn observation(self, prompt: u64, took: Duration) -> Option<Observation> {
         match self {
-            Self::FromResult => Some(Observation::Started { prompt, took }),
-            Self::FromPrompt => Some(Observation::ReadAndStarted { prompt, took }),
+            Self::FromPrefill => Some(Observation::Started { prompt, took }),
+            Self::WithPrefill => Some(Observation::ReadAndStarted { prompt, took }),
             Self::Other => None,
         }
     }
 }
 
-/// Why a run has not begun.
-enum Trouble {
-    /// The request was not run; it may be tried again.
+/// Why an attempt ended before its response began.
+enum Abort {
+    /// The request has not run.
     NotRun(String),
     /// The request may have run.
-    Broken(String),
-    /// The endpoint ran it and answers with a failure.
-    Answered(Response, Bytes),
+    MayHaveRun(String),
+    /// The endpoint ran the request and responded with an error.
+    ErrorResponse(Response, Bytes),
 }
 
-/// Why a stream has stopped before its end.
-enum Stop {
-    /// The caller takes no more.
-    CallerGone(std::io::Error),
-    /// The endpoint broke off.
-    Broken(String),
+/// Why a stream stopped before its end.
+enum Interruption {
+    /// Writing to the caller failed.
+    CallerDisconnected(std::io::Error),
+    /// The endpoint's response failed or stalled.
+    EndpointFailed(String),
 }
 
-/// Serves a request; an error is to be told to the caller.
+/// Serves a request. Returns a refusal if the caller has not received a response.
 pub(crate) async fn serve(
     context: &Arc<Context>,
     inbound: &Inbound,
-    answer: &mut Answer,
+    writer: &mut ResponseWriter,
 ) -> Result<(), Refusal> {
-    fits_before_end(context, inbound).await?;
+    check_shutdown(context, inbound).await?;
     let mut progress = Progress { last_event: None, avoid: Vec::new(), runs: 0 };
     for sends in 1.. {
-        let place = lease_endpoint(context, inbound, &progress).await?;
-        let endpoint = place.endpoint().clone();
-        let reason = match start(context, inbound, &progress, place, &endpoint).await {
-            Ok(run) => match pass_on(context, inbound, run, answer, &mut progress).await {
+        let placement = place(context, inbound, &progress).await?;
+        let endpoint = placement.endpoint().clone();
+        let reason = match start(context, inbound, &progress, placement, &endpoint).await {
+            Ok(upstream) => match relay(context, inbound, upstream, writer, &mut progress).await {
                 Ok(()) => return Ok(()),
-                Err(Stop::CallerGone(error)) => {
-                    spdlog::info!("caller gone", kv: { request = inbound.id(), reason = error.to_string().as_str() });
+                Err(Interruption::CallerDisconnected(error)) => {
+                    spdlog::info!("caller disconnected", kv: { request = inbound.id(), reason = error.to_string().as_str() });
                     return Ok(());
                 }
-                Err(Stop::Broken(reason)) => {
-                    broken(context, inbound, answer, &mut progress, &endpoint, reason)?
+                Err(Interruption::EndpointFailed(reason)) => {
+                    fail_attempt(context, inbound, writer, &mut progress, &endpoint, reason)?
                 }
             },
-            Err(Trouble::Answered(head, body)) if answer.is_open() => {
-                // Only the caller's own connection can fail here, and then nobody is left to tell.
-                let _ = answer.whole(head, &body).await;
+            Err(Abort::ErrorResponse(head, body)) if writer.is_unsent() => {
+                // Fails only if the caller's connection does; no caller is left to respond to then.
+                let _ = writer.write_whole(head, &body).await;
                 return Ok(());
             }
-            Err(Trouble::Answered(head, _)) => {
+            Err(Abort::ErrorResponse(head, _)) => {
                 let reason = format!("resuming failed with status {}", head.status);
-                broken(context, inbound, answer, &mut progress, &endpoint, reason)?
+                fail_attempt(context, inbound, writer, &mut progress, &endpoint, reason)?
             }
-            Err(Trouble::Broken(reason)) => {
-                broken(context, inbound, answer, &mut progress, &endpoint, reason)?
+            Err(Abort::MayHaveRun(reason)) => {
+                fail_attempt(context, inbound, writer, &mut progress, &endpoint, reason)?
             }
-            Err(Trouble::NotRun(reason)) => {
+            Err(Abort::NotRun(reason)) => {
                 progress.avoid.push(endpoint.id.clone());
                 Some(reason)
             }
         };
-        // The stream was cut and cannot go on; the connection ends without the stream's end.
+        // The stream cannot be resumed; the connection closes without the end of the body.
         let Some(reason) = reason else { return Ok(()) };
-        if sends >= MOST_SENDS || !context.control.retry(inbound.service()).await {
-            return exhausted(inbound, answer, reason);
+        if sends >= MAX_SENDS || !context.control.acquire_retry(inbound.service()).await {
+            return give_up(inbound, writer, reason);
         }
-        spdlog::info!("sent again", kv: {
+        spdlog::info!("retrying the request", kv: {
             request = inbound.id(), sends, reason = reason.as_str(),
             after = progress.last_event.as_deref().unwrap_or("")
         });
@@ -158,130 +158,134 @@
     Ok(())
 }
 
-/// Refuses a stream that this process would cut: it is told to stop, and the stream is expected to
-/// last longer. The caller comes again at once, by another entry.
-async fn fits_before_end(context: &Context, inbound: &Inbound) -> Result<(), Refusal> {
-    let Some(stop) = context.stop.get() else { return Ok(()) };
+/// Refuses a stream that is not expected to end before the process does. The caller can retry at once, at
+/// another gateway.
+async fn check_shutdown(context: &Context, inbound: &Inbound) -> Result<(), Refusal> {
+    let Some(shutdown) = context.shutdown.get() else { return Ok(()) };
     let forecast = context.control.forecast(inbound.service()).await;
     let now = context.clock.now();
-    if forecast.ends_within(stop.ends.since(now), inbound.size(), now < stop.noticed) {
+    if forecast.ends_within(shutdown.deadline.since(now), inbound.size(), now < shutdown.drain_delay_ends) {
         return Ok(());
     }
     Err(Refusal::not_run(Code::ShuttingDown, "the process stops before the stream would end")
-        .retry_after(ELSEWHERE))
+        .retry_after(RETRY_ELSEWHERE))
 }
 
-/// Deals with a run that broke off: gives the reason if it may run again, nothing if the stream is
-/// over, and a refusal if the caller is still to be told.
-fn broken(
+/// Handles an attempt that failed after it may have run. Returns the reason if the request may be retried,
+/// `None` if the stream was cut, or a refusal if the caller has not received a response.
+fn fail_attempt(
     context: &Context,
     inbound: &Inbound,
-    answer: &Answer,
+    writer: &ResponseWriter,
     progress: &mut Progress,
     endpoint: &Arc<Endpoint>,
     reason: String,
 ) -> Result<Option<String>, Refusal> {
     progress.runs += 1;
     progress.avoid.push(endpoint.id.clone());
-    context.control.broke(&endpoint.id, inbound.admission.fingerprint);
-    if inbound.may_repeat(progress.runs) {
+    context.control.record_failure(&endpoint.id, inbound.admission.fingerprint);
+    if inbound.may_retry(progress.runs) {
         return Ok(Some(reason));
     }
-    cut(inbound, answer, reason)
+    cut(inbound, writer, reason)
 }
 
-fn exhausted(inbound: &Inbound, answer: &Answer, reason: String) -> Result<(), Refusal> {
-    if answer.is_open() && !inbound.may_have_run() {
+/// Ends a request that may not be retried any more.
+fn give_up(inbound: &Inbound, writer: &ResponseWriter, reason: String) -> Result<(), Refusal> {
+    if writer.is_unsent() && !inbound.may_have_run() {
         return Err(Refusal::not_run(Code::Overloaded, reason).retry_after(COME_BACK));
     }
-    cut(inbound, answer, reason).map(|_| ())
+    cut(inbound, writer, reason).map(|_| ())
 }
 
-fn cut(inbound: &Inbound, answer: &Answer, reason: String) -> Result<Option<String>, Refusal> {
-    if answer.is_open() {
+/// Returns a refusal if the caller has not received a response; otherwise logs that the stream is cut.
+fn cut(inbound: &Inbound, writer: &ResponseWriter, reason: String) -> Result<Option<String>, Refusal> {
+    if writer.is_unsent() {
         return Err(Refusal::run(Code::Broken, reason));
     }
     spdlog::warn!("stream cut", kv: { request = inbound.id(), reason = reason.as_str() });
     Ok(None)
 }
 
-/// Starts a run and waits for the head of its answer.
+/// Starts an attempt and waits for the response head. On split services, this includes the prefill.
 async fn start<'a>(
     context: &'a Arc<Context>,
     inbound: &Inbound,
     progress: &Progress,
-    placing: Placing,
+    placement: Placement,
     endpoint: &'a Arc<Endpoint>,
-) -> Result<Run<'a>, Trouble> {
-    match placing {
-        Placing::Whole(ticket) => {
+) -> Result<Upstream<'a>, Abort> {
+    match placement {
+        Placement::Whole(permit) => {
             let last_event = progress.last_event.as_deref();
             let task = match last_event {
                 Some(_) => Task::Decode(Decode { last_event, ..Decode::default() }),
                 None => Task::Whole,
             };
-            send(context, inbound, ticket, endpoint, task).await
+            send(context, inbound, permit, endpoint, task).await
         }
-        Placing::Decode { run, reader, mut held } => {
-            let mut read = match reader {
-                Some(reader) => Some(read_prompt(context, inbound, &endpoint.zone, reader).await?),
+        Placement::Split { decode, prefill, mut reservation } => {
+            let mut prefilled = match prefill {
+                Some(permit) => Some(run_prefill(context, inbound, &endpoint.zone, permit).await?),
                 None => None,
             };
-            let decode = Decode {
-                source: read.as_ref().and_then(|read| Some((read.endpoint.address, read.name()?))),
-                reservation: held.as_ref().and_then(Release::name),
+            let inputs = Decode {
+                source: prefilled
+                    .as_ref()
+                    .and_then(|prefilled| Some((prefilled.endpoint.address, prefilled.name()?))),
+                reservation: reservation.as_ref().and_then(Guard::name),
                 last_event: progress.last_event.as_deref(),
             };
-            let started = send(context, inbound, run, endpoint, Task::Decode(decode)).await;
-            if !matches!(started, Err(Trouble::NotRun(_))) {
-                held.iter_mut().chain(&mut read).for_each(Release::used);
+            let started = send(context, inbound, decode, endpoint, Task::Decode(inputs)).await;
+            if !matches!(started, Err(Abort::NotRun(_))) {
+                reservation.iter_mut().chain(&mut prefilled).for_each(Guard::mark_consumed);
             }
             started
         }
     }
 }
 
-/// Sends the run itself.
+/// Sends the request to the endpoint that generates the response.
 async fn send<'a>(
     context: &'a Arc<Context>,
     inbound: &Inbound,
-    mut ticket: Ticket,
+    mut permit: Permit,
     endpoint: &'a Arc<Endpoint>,
     task: Task<'_>,
-) -> Result<Run<'a>, Trouble> {
-    inbound.given();
+) -> Result<Upstream<'a>, Abort> {
+    inbound.mark_sent();
     let (began, start) = (context.clock.now(), Start::of(&task));
     let sent = inbound.send(context, endpoint, task, inbound.route.silence + SILENCE_SLACK).await;
     let exchange = match sent {
         Ok(exchange) => exchange,
-        Err(Failure::Unsent(error)) => {
-            inbound.not_run();
-            ticket.ended(Outcome::Unreachable);
-            return Err(Trouble::NotRun(format!("{} cannot be reached: {error}", endpoint.id)));
+        Err(Failure::Connect(error)) => {
+            inbound.mark_not_run();
+            permit.finish(Outcome::Unreachable);
+            return Err(Abort::NotRun(format!("{} is unreachable: {error}", endpoint.id)));
         }
         Err(failure) => {
-            ticket.ended(Outcome::Failed);
-            return Err(Trouble::Broken(format!("{}: {failure}", endpoint.id)));
+            permit.finish(Outcome::Failed);
+            return Err(Abort::MayHaveRun(format!("{}: {failure}", endpoint.id)));
         }
     };
     let status = exchange.head.status;
     if exchange.reply.not_run || status == MISDIRECTED {
-        inbound.not_run();
-        let reason = format!("{} did not run it, status {status}", endpoint.id);
-        ticket.ended(unrun(&exchange.head, &exchange.reply, endpoint, Outcome::TurnedAway));
-        // The body is of no use, but reading it keeps the connection.
-        let _ = exchange.whole().await;
-        return Err(Trouble::NotRun(reason));
+        inbound.mark_not_run();
+        let reason = format!("{} did not run the request, status {status}", endpoint.id);
+        permit.finish(not_run_outcome(&exchange.head, &exchange.reply, endpoint, Outcome::TurnedAway));
+        // Reading the body allows the connection to be reused.
+        let _ = exchange.read_whole().await;
+        return Err(Abort::NotRun(reason));
     }
     if status == 200 && exchange.reply.is_signed && !exchange.reply.is_encoded {
-        ticket.answered();
-        return Ok(Run { exchange, ticket, sent: began, start });
+        permit.record_response();
+        return Ok(Upstream { exchange, permit, sent: began, start });
     }
-    ticket.ended(Outcome::Failed);
-    let is_own = exchange.reply.is_signed && status >= 400 && !is_promise(status);
-    match exchange.whole().await {
-        Ok((head, _, body)) if is_own => Err(Trouble::Answered(head, body)),
-        Ok(_) => Err(Trouble::Broken(format!("{}: status {status} is no answer of its own", endpoint.id))),
-        Err(failure) => Err(Trouble::Broken(format!("{}: {failure}", endpoint.id))),
+    permit.finish(Outcome::Failed);
+    let is_error_response = exchange.reply.is_signed && status >= 400 && !is_not_run_status(status);
+    match exchange.read_whole().await {
+        Ok((head, _, body)) if is_error_response => Err(Abort::ErrorResponse(head, body)),
+        Ok(_) => Err(Abort::MayHaveRun(format!("{}: invalid response, status {status}", endpoint.id))),
+        Err(failure) => Err(Abort::MayHaveRun(format!("{}: {failure}", endpoint.id))),
     }
 }
--- /dev/null
+++ b/crates/gateway/src/stream/prefill.rs
@@ -0,0 +1,106 @@
+//! Prefill of prompts.
+
+use std::sync::Arc;
+
+use tarragonhill_core::gateway::{
+    completion::Prompt, directory::Endpoint, forecast::Observation, health::Outcome,
+};
+
+use super::{
+    Abort,
+    resource::{Guard, Kind},
+};
+use crate::{
+    context::{Context, Inbound},
+    control::Permit,
+    edge::Task,
+    exchange::{Failure, MISDIRECTED, not_run_outcome},
+};
+
+/// Maximum endpoints that are asked to prefill one prompt.
+const MAX_ATTEMPTS: u32 = 3;
+/// Prefills the prompt. If an endpoint fails, another one is asked.
+pub(super) async fn run_prefill(
+    context: &Arc<Context>,
+    inbound: &Inbound,
+    zone: &Arc<str>,
+    first: Permit,
+) -> Result<Guard, Abort> {
+    let mut avoid = Vec::new();
+    let mut permit = first;
+    for attempts in 1.. {
+        avoid.push(permit.endpoint.id.clone());
+        let endpoint = permit.endpoint.clone();
+        let (reason, was_sent) = match prefill_at(context, inbound, permit, &endpoint).await {
+            Ok(result) => {
+                let kind = Kind::Prefill(result);
+                return Ok(Guard { context: context.clone(), endpoint, kind });
+            }
+            Err(Failure::Connect(error)) => (format!("{}: {error}", endpoint.id), false),
+            Err(failure) => (format!("{}: {failure}", endpoint.id), true),
+        };
+        spdlog::info!("prefill failed", kv: { request = inbound.id(), reason = reason.as_str() });
+        // A connection that could not be opened costs no retry.
+        let may_retry = !was_sent || context.control.acquire_retry(inbound.service()).await;
+        if attempts >= MAX_ATTEMPTS || !may_retry {
+            return Err(Abort::NotRun(reason));
+        }
+        let prompt = Prompt {
+            service: inbound.service().clone(),
+            tokens: inbound.size().prompt,
+            aim: inbound.route.aim,
+            zone: zone.clone(),
+            avoid: avoid.clone(),
+        };
+        let Some(new) = context.control.place_prompt(prompt).await else { return Err(Abort::NotRun(reason)) };
+        permit = new;
+    }
+    unreachable!("the loop ends by a return")
+}
+
+/// Prefills the prompt at one endpoint and returns the name of the result.
+async fn prefill_at(
+    context: &Arc<Context>,
+    inbound: &Inbound,
+    mut permit: Permit,
+    endpoint: &Arc<Endpoint>,
+) -> Result<Arc<str>, Failure> {
+    let began = context.clock.now();
+    let sent = inbound.send(context, endpoint, Task::Prefill, permit.limit).await;
+    let exchanged = match sent {
+        Ok(exchange) => exchange.read_whole().await,
+        Err(failure) => Err(failure),
+    };
+    match exchanged {
+        Ok((head, _, body)) if head.status == 200 => {
+            let result = context.dialect.decode_prefill(&body);
+            if result.is_some() {
+                let took = context.clock.now().since(began);
+                permit.observe(Observation::Read { tokens: permit.tokens, took });
+                permit.record_response();
+            }
+            result.ok_or(Failure::InvalidResponse("the name of the prefill result is missing"))
+        }
+        Ok((head, reply, _)) => {
+            let is_not_run = reply.not_run || head.status == MISDIRECTED;
+            permit.finish(if is_not_run {
+                not_run_outcome(&head, &reply, endpoint, Outcome::TurnedAway)
+            } else {
+                Outcome::Failed
+            });
+            Err(Failure::InvalidResponse(if is_not_run { "not run" } else { "refused" }))
+        }
+        Err(failure) => {
+            let is_unsent = matches!(failure, Failure::Connect(_));
+            if matches!(failure, Failure::Timeout) {
+                let waited = context.clock.now().since(began);
+                permit.observe(Observation::Unread { tokens: permit.tokens, waited });
+            }
+            if !is_unsent {
+                context.control.record_failure(&endpoint.id, inbound.admission.fingerprint);
+            }
+            permit.finish(if is_unsent { Outcome::Unreachable } else { Outcome::Failed });
+            Err(failure)
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/stream/relay.rs
@@ -0,0 +1,127 @@
+//! Relays the events of an endpoint's response to the caller.
+
+use std::time::Duration;
+
+use async_std::future::timeout;
+use bytes::{Bytes, BytesMut};
+use tarragonhill_core::{
+    Time,
+    gateway::{forecast::Observation, health::Outcome},
+};
+
+use super::{
+    Interruption, Progress, Upstream,
+    events::{complete_length, count_events, last_id},
+};
+use crate::{
+    caller::ResponseWriter,
+    context::{Context, Inbound},
+    control::Permit,
+    exchange::{Exchange, Failure},
+};
+
+/// A resumable stream without an event for this many times the route's maximum gap counts as stalled and
+/// resumes at another endpoint. Callers wait longer than that.
+const STALL_GAPS: u32 = 5;
+/// Stall timeout of resumable streams whose route has no maximum gap.
+const DEFAULT_STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+
+/// How much longer the gateway waits for an event than the caller does, if the stream is not resumable.
+pub(super) const SILENCE_SLACK: Duration = Duration::from_millis(500);
+
+/// Minimum interval at which a stream's event rate is recorded.
+const RECORD_INTERVAL: Duration = Duration::from_millis(250);
+
+/// Events that have not been recorded yet.
+struct PendingEvents {
+    /// Start of the interval; `None` before the first event.
+    since: Option<Time>,
+    events: u64,
+}
+
+impl PendingEvents {
+    /// Counts events, and records them once the interval is over. The first events only start the interval.
+    fn add(&mut self, now: Time, events: u64, permit: &Permit) {
+        let Some(since) = self.since else {
+            self.since = Some(now);
+            return;
+        };
+        self.events += events;
+        if now.since(since) >= RECORD_INTERVAL {
+            self.flush(now, permit);
+        }
+    }
+
+    /// Records the pending events. Also called at the end of a stream, which may be shorter than the interval.
+    fn flush(&mut self, now: Time, permit: &Permit) {
+        let Some(since) = self.since.filter(|_| self.events > 0) else { return };
+        permit.record_events(self.events, now.since(since));
+        *self = Self { since: Some(now), events: 0 };
+    }
+}
+
+/// Relays a response to the caller. Only complete events are relayed, because a stream that resumes at
+/// another endpoint repeats a truncated event from its beginning.
+pub(super) async fn relay(
+    context: &Context,
+    inbound: &Inbound,
+    upstream: Upstream<'_>,
+    writer: &mut ResponseWriter,
+    progress: &mut Progress,
+) -> Result<(), Interruption> {
+    let Upstream { mut exchange, permit, sent, start } = upstream;
+    let mut buffer = BytesMut::new();
+    let mut pending = PendingEvents { since: None, events: 0 };
+    loop {
+        let chunk = match next_chunk(inbound, &mut exchange).await {
+            Ok(chunk) => chunk,
+            Err(failure) => {
+                let reason = format!("{}: {failure}", permit.endpoint.id);
+                permit.finish(Outcome::Failed);
+                return Err(Interruption::EndpointFailed(reason));
+            }
+        };
+        if writer.is_unsent() {
+            let seconds = context.clock.now().since(inbound.received).as_secs_f64();
+            context.metrics.first_byte.with_label_values(&["streaming"]).observe(seconds);
+            writer.write_head(exchange.head.clone()).await.map_err(Interruption::CallerDisconnected)?;
+        }
+        let Some(chunk) = chunk else {
+            writer.write_chunk(&buffer).await.map_err(Interruption::CallerDisconnected)?;
+            writer.finish().await.map_err(Interruption::CallerDisconnected)?;
+            exchange.recycle();
+            let size = inbound.size();
+            pending.flush(context.clock.now(), &permit);
+            permit.observe(Observation::Ended { expected: size.expected, events: writer.timing.events });
+            return Ok(());
+        };
+        buffer.extend_from_slice(&chunk);
+        let Some(length) = complete_length(&buffer) else { continue };
+        let events = buffer.split_to(length);
+        if let Some(id) = last_id(&events) {
+            progress.last_event = Some(id.into());
+        }
+        let (now, count) = (context.clock.now(), count_events(&events));
+        writer.timing.record(now, count);
+        if pending.since.is_none()
+            && let Some(observation) = start.observation(inbound.size().prompt, now.since(sent))
+        {
+            permit.observe(observation);
+        }
+        pending.add(now, count, &permit);
+        writer.write_chunk(&events).await.map_err(Interruption::CallerDisconnected)?;
+    }
+}
+
+/// Reads the next chunk of a response. A connection may fall silent without being closed, for example when a
+/// middlebox loses its state; without a timeout, its memory would stay reserved until the deadline.
+async fn next_chunk(inbound: &Inbound, exchange: &mut Exchange<'_>) -> Result<Option<Bytes>, Failure> {
+    let limit = if !inbound.route.resumable {
+        inbound.route.silence + SILENCE_SLACK
+    } else if inbound.route.gap.is_zero() {
+        DEFAULT_STALL_TIMEOUT
+    } else {
+        inbound.route.gap * STALL_GAPS
+    };
+    timeout(limit, exchange.next_chunk()).await.unwrap_or(Err(Failure::Timeout))
+}
--- /dev/null
+++ b/crates/gateway/src/sync.rs
@@ -0,0 +1,156 @@
+//! Replication of store snapshots between gateways.
+//!
+//! A gateway that cannot reach the store has no configuration after a start, or serves by an outdated one.
+//! It fetches a snapshot from its peers instead; their digests say where they listen and how new their
+//! copies of the store are.
+
+use std::{pin::Pin, sync::Arc, time::Duration};
+
+use async_std::{
+    future::timeout,
+    task::{self, JoinHandle},
+};
+use futures_lite::stream::{self, Stream};
+use prost::Message as _;
+use rand::seq::IndexedRandom as _;
+use tarragonhill_core::gateway::{digest::Member, knowledge::Knowledge};
+use tarragonhill_wire::proto::{self, entry_client::EntryClient, entry_server};
+use tonic::{
+    Request, Response, Status,
+    transport::{Endpoint, Server, server::TcpIncoming},
+};
+
+use crate::{context::Context, control::Control, edge::Update};
+
+/// Timeout for connecting, for the response to begin and for each chunk. The whole transfer has no deadline,
+/// because the size of the configuration is up to the operator.
+const STEP_TIMEOUT: Duration = Duration::from_millis(800);
+/// Size of a chunk, bytes; small enough for a slow link to carry within the timeout.
+const CHUNK: usize = 32 << 10;
+/// Maximum size of a snapshot, bytes.
+const MAX_SNAPSHOT: usize = 32 << 20;
+/// Delay before all peers are asked again.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Interval at which an initialized gateway checks whether a peer has newer data.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of snapshots fetched at startup. A single peer may itself have an outdated copy.
+const MAX_SNAPSHOTS: usize = 3;
+
+/// Serves snapshots to peers.
+pub(crate) fn serve(incoming: TcpIncoming, control: Control) -> JoinHandle<()> {
+    let service = entry_server::EntryServer::new(Service(control));
+    task::spawn(async move {
+        if let Err(error) = Server::builder().add_service(service).serve_with_incoming(incoming).await {
+            spdlog::error!("snapshot server failed", kv: { reason = error.to_string().as_str() });
+        }
+    })
+}
+
+struct Service(Control);
+
+type Chunks = Pin<Box<dyn Stream<Item = Result<proto::Chunk, Status>> + Send>>;
+
+#[tonic::async_trait]
+impl entry_server::Entry for Service {
+    type TellStream = Chunks;
+
+    async fn tell(&self, question: Request<proto::Question>) -> Result<Response<Chunks>, Status> {
+        let snapshot = self.0.snapshot().await;
+        let mut snapshot = snapshot.ok_or_else(|| Status::unavailable("nothing has been read yet"))?;
+        // The peer already has this configuration, so it is left out.
+        if snapshot.versions.configuration <= question.into_inner().configuration {
+            snapshot.configuration = Arc::default();
+        }
+        let bytes = proto::Knowledge::from(&snapshot).encode_to_vec();
+        let chunks: Vec<proto::Chunk> =
+            bytes.chunks(CHUNK).map(|data| proto::Chunk { data: data.to_vec() }).collect();
+        Ok(Response::new(Box::pin(stream::iter(chunks.into_iter().map(Ok)))))
+    }
+}
+
+/// Fetches snapshots from peers until this gateway is initialized, unless the store responds soon after the
+/// start. From then on, fetches data that the store should have delivered but only a peer has.
+pub(crate) async fn run(context: Arc<Context>) {
+    context.control.wait_initialized(&context.clock).await;
+    loop {
+        if context.control.is_initialized() {
+            let newer = context.control.newer_peers().await;
+            let member = newer.choose(&mut rand::rng()).cloned();
+            if let Some(member) = member {
+                fetch(&context, &member).await;
+            }
+            context.clock.sleep(CHECK_INTERVAL).await;
+        } else {
+            fetch_from_peers(&context).await;
+            context.clock.sleep(RETRY_DELAY).await;
+        }
+    }
+}
+
+async fn fetch_from_peers(context: &Context) {
+    let mut fetched = 0;
+    for member in context.control.members().await {
+        fetched += usize::from(fetch(context, &member).await);
+        if fetched >= MAX_SNAPSHOTS {
+            return;
+        }
+    }
+}
+
+/// Fetches and applies a peer's snapshot. Returns whether the peer sent one.
+async fn fetch(context: &Context, member: &Member) -> bool {
+    let question = proto::Question { configuration: context.control.versions().await.configuration };
+    match request_snapshot(member, question).await {
+        Ok(snapshot) => {
+            apply(context, member, snapshot);
+            true
+        }
+        Err(reason) => {
+            spdlog::debug!("fetching a snapshot failed", kv: { peer = &*member.name, reason = reason.as_str() });
+            false
+        }
+    }
+}
+
+async fn request_snapshot(member: &Member, question: proto::Question) -> Result<Knowledge, String> {
+    let endpoint = Endpoint::from_shared(format!("http://{}", member.address));
+    let endpoint = endpoint.map_err(|error| error.to_string())?;
+    let channel = with_timeout(endpoint.connect()).await?.map_err(|error| error.to_string())?;
+    let mut client = EntryClient::new(channel);
+    let response = with_timeout(client.tell(question)).await?;
+    let mut chunks = response.map_err(|status| status.to_string())?.into_inner();
+    let mut bytes = Vec::new();
+    while let Some(chunk) = with_timeout(chunks.message()).await?.map_err(|status| status.to_string())? {
+        if bytes.len() + chunk.data.len() > MAX_SNAPSHOT {
+            return Err("snapshot too large".into());
+        }
+        bytes.extend_from_slice(&chunk.data);
+    }
+    let snapshot = proto::Knowledge::decode(bytes.as_slice()).map_err(|error| error.to_string())?;
+    Knowledge::try_from(snapshot).map_err(|error| error.to_string())
+}
+
+async fn with_timeout<T>(step: impl Future<Output = T>) -> Result<T, String> {
+    timeout(STEP_TIMEOUT, step).await.map_err(|_| "request timed out".to_string())
+}
+
+fn apply(context: &Context, member: &Member, snapshot: Knowledge) {
+    let Knowledge { versions, configuration, listing } = snapshot;
+    let order = versions.configuration;
+    spdlog::info!("snapshot fetched from a peer", kv: {
+        peer = &*member.name, order, configuration = configuration.len(), endpoints = listing.rows.len()
+    });
+    if !configuration.is_empty() {
+        match context.dialect.decode_catalog(&configuration) {
+            Ok(catalog) => {
+                let catalog = Arc::new(catalog);
+                context.control.update(Update::Catalog { order, catalog, source: configuration });
+            }
+            Err(reason) => {
+                spdlog::warn!("invalid configuration ignored", kv: { peer = &*member.name, reason = reason.as_str() });
+                return;
+            }
+        }
+    }
+    context.control.update(Update::PeerListing { listing, newest: versions.endpoints });
+}
--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/timing.rs
@@ -1,23 +1,23 @@
-//! How fast a stream's events reached its caller.
+//! Timing of a stream's events.
 
 use std::time::Duration;
 
 use tarragonhill_core::Time;
 
-/// The pace of one stream.
+/// Event count and timing of one stream, as sent to its caller.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
-    /// Events so far.
+pub struct Timing {
+    /// Events sent so far.
     pub events: u64,
-    /// Longest pause between two events.
+    /// Longest time between two events.
     pub longest_gap: Duration,
     first: Option<Time>,
     last: Time,
 }
 
-impl Pace {
-    /// Notes events that are sent now.
-    pub fn note(&mut self, now: Time, events: u64) {
+impl Timing {
+    /// Records events that are sent at `now`.
+    pub fn record(&mut self, now: Time, events: u64) {
         if self.first.is_some() {
             self.longest_gap = self.longest_gap.max(now.since(self.last));
         }
@@ -26,8 +26,8 @@
         self.events += events;
     }
 
-    /// Time from a request's arrival to its first event; zero without one.
-    pub fn first_after(&self, received: Time) -> Duration {
+    /// Returns the time from `received` to the first event; zero if there was none.
+    pub fn time_to_first(&self, received: Time) -> Duration {
         self.first.map_or(Duration::ZERO, |first| first.since(received))
     }
 }
--- /dev/null
+++ b/crates/gateway/src/unary.rs
@@ -0,0 +1,224 @@
+//! Requests whose responses are read whole before they are relayed.
+//!
+//! Because the caller has not received any part of it, a truncated or invalid response to an idempotent
+//! request can be replaced by another endpoint's.
+
+use std::{pin::pin, sync::Arc, time::Duration};
+
+use async_std::future::timeout;
+use bytes::Bytes;
+use futures_lite::FutureExt as _;
+use tarragonhill_core::{
+    Refusal,
+    gateway::{health::Outcome, state::COME_BACK},
+    refusal::Code,
+};
+use tarragonhill_h1::head::Response;
+
+use crate::{
+    caller::ResponseWriter,
+    context::{Context, Inbound},
+    control::Permit,
+    edge::{Reply, Task},
+    exchange::{Failure, MISDIRECTED, is_not_run_status, not_run_outcome},
+};
+
+/// Fraction of the route's latency target after which an idempotent request is hedged. Late enough to hedge
+/// few requests, early enough for the second response to meet the target.
+const HEDGE_AFTER: f64 = 0.5;
+/// Maximum times that a request is sent, including retries but not hedges.
+const MAX_SENDS: u32 = 4;
+
+/// Result of a request at one endpoint.
+enum Attempt {
+    /// The endpoint responded.
+    Response { head: Response, body: Bytes },
+    /// The endpoint did not run the request.
+    NotRun(String),
+    /// The endpoint may have run the request.
+    MayHaveRun(String),
+}
+
+/// Serves a request. Returns a refusal if the caller has not received a response.
+pub(crate) async fn serve(
+    context: &Arc<Context>,
+    inbound: &Inbound,
+    writer: &mut ResponseWriter,
+) -> Result<(), Refusal> {
+    let mut avoid: Vec<Arc<str>> = Vec::new();
+    let mut error_response: Option<(Response, Bytes)> = None;
+    let mut runs = 0;
+    for sends in 1.. {
+        let permit = match context.control.place(inbound.service(), &avoid).await {
+            Ok(permit) => permit,
+            Err(refusal) => return give_up(inbound, writer, error_response, refusal).await,
+        };
+        inbound.log_placement(context.clock.now(), &permit.endpoint, None);
+        avoid.push(permit.endpoint.id.clone());
+        let (attempt, used) = attempt_with_hedge(context, inbound, permit, &mut avoid, runs).await;
+        let reason = match attempt {
+            Attempt::Response { head, body } if head.status < 500 || !inbound.may_retry(runs + used) => {
+                return relay(inbound, writer, head, body).await;
+            }
+            Attempt::Response { head, body } => {
+                error_response = Some((head, body));
+                runs += used;
+                "the endpoint failed".into()
+            }
+            Attempt::NotRun(reason) => reason,
+            Attempt::MayHaveRun(reason) => {
+                runs += used;
+                if !inbound.may_retry(runs) {
+                    let refusal = Refusal::run(Code::OutcomeUnknown, reason);
+                    return give_up(inbound, writer, error_response, refusal).await;
+                }
+                reason
+            }
+        };
+        if sends >= MAX_SENDS || !context.control.acquire_retry(inbound.service()).await {
+            let refusal = retries_exhausted(inbound, reason);
+            return give_up(inbound, writer, error_response, refusal).await;
+        }
+        spdlog::info!("retrying the request", kv: { request = inbound.id(), sends, reason = reason.as_str() });
+    }
+    Ok(())
+}
+
+fn retries_exhausted(inbound: &Inbound, reason: String) -> Refusal {
+    if inbound.may_have_run() {
+        return Refusal::run(Code::OutcomeUnknown, reason);
+    }
+    Refusal::not_run(Code::Overloaded, reason).retry_after(COME_BACK)
+}
+
+/// Relays the last error response of an endpoint, or refuses the request if there was none.
+async fn give_up(
+    inbound: &Inbound,
+    writer: &mut ResponseWriter,
+    error_response: Option<(Response, Bytes)>,
+    refusal: Refusal,
+) -> Result<(), Refusal> {
+    match error_response {
+        Some((head, body)) => relay(inbound, writer, head, body).await,
+        None => Err(refusal),
+    }
+}
+
+async fn relay(
+    inbound: &Inbound,
+    writer: &mut ResponseWriter,
+    head: Response,
+    body: Bytes,
+) -> Result<(), Refusal> {
+    if let Err(error) = writer.write_whole(head, &body).await {
+        spdlog::info!("caller disconnected", kv: { request = inbound.id(), reason = error.to_string().as_str() });
+    }
+    Ok(())
+}
+
+/// Sends a request and, if it may be retried and the response is slow, hedges it at a second endpoint. Also
+/// returns the number of endpoints that may have run the request.
+async fn attempt_with_hedge(
+    context: &Arc<Context>,
+    inbound: &Inbound,
+    permit: Permit,
+    avoid: &mut Vec<Arc<str>>,
+    runs: u32,
+) -> (Attempt, u32) {
+    let mut first = pin!(attempt(context, inbound, permit));
+    if !inbound.may_retry(runs + 1) {
+        return (first.await, 1);
+    }
+    let delay = inbound.route.aim.mul_f64(HEDGE_AFTER);
+    if let Ok(attempt) = timeout(delay, first.as_mut()).await {
+        return (attempt, 1);
+    }
+    let Ok(permit) = context.control.place(inbound.service(), avoid).await else { return (first.await, 1) };
+    if !context.control.acquire_retry(inbound.service()).await {
+        drop(permit);
+        return (first.await, 1);
+    }
+    avoid.push(permit.endpoint.id.clone());
+    spdlog::info!("hedging the request", kv: { request = inbound.id(), endpoint = &*permit.endpoint.id });
+    let mut second = pin!(attempt(context, inbound, permit));
+    let (earlier, is_first) = {
+        let one = async { (first.as_mut().await, true) };
+        let two = async { (second.as_mut().await, false) };
+        one.or(two).await
+    };
+    if matches!(&earlier, Attempt::Response { head, .. } if head.status < 500) {
+        return (earlier, 2);
+    }
+    let later = if is_first { second.await } else { first.await };
+    let better = if matches!(later, Attempt::Response { .. }) { later } else { earlier };
+    (better, 2)
+}
+
+async fn attempt(context: &Arc<Context>, inbound: &Inbound, mut permit: Permit) -> Attempt {
+    let endpoint = permit.endpoint.clone();
+    inbound.mark_sent();
+    let sent = inbound.send(context, &endpoint, Task::Whole, Duration::MAX).await;
+    let exchanged = match sent {
+        Ok(exchange) => {
+            permit.record_response();
+            exchange.read_whole().await
+        }
+        Err(failure) => Err(failure),
+    };
+    let attempt = classify(inbound, exchanged, permit, context);
+    if matches!(attempt, Attempt::NotRun(_)) {
+        inbound.mark_not_run();
+    }
+    count(context, &attempt);
+    attempt
+}
+
+type Exchanged = Result<(Response, Reply, Bytes), Failure>;
+
+/// Classifies the result of an exchange and records the outcome at the endpoint.
+fn classify(inbound: &Inbound, exchanged: Exchanged, permit: Permit, context: &Context) -> Attempt {
+    let (head, reply, body) = match exchanged {
+        Ok(exchanged) => exchanged,
+        Err(Failure::Connect(error)) => {
+            let reason = format!("{} is unreachable: {error}", permit.endpoint.id);
+            permit.finish(Outcome::Unreachable);
+            return Attempt::NotRun(reason);
+        }
+        Err(failure) => {
+            let reason = format!("{}: {failure}", permit.endpoint.id);
+            context.control.record_failure(&permit.endpoint.id, inbound.admission.fingerprint);
+            permit.finish(Outcome::Failed);
+            return Attempt::MayHaveRun(reason);
+        }
+    };
+    if reply.not_run || head.status == MISDIRECTED {
+        let reason = format!("{} did not run the request, status {}", permit.endpoint.id, head.status);
+        let outcome = not_run_outcome(&head, &reply, &permit.endpoint, Outcome::Refused);
+        permit.finish(outcome);
+        return Attempt::NotRun(reason);
+    }
+    if !reply.is_signed || reply.is_encoded {
+        let reason = format!("{}: invalid response, status {}", permit.endpoint.id, head.status);
+        permit.finish(Outcome::Failed);
+        return Attempt::MayHaveRun(reason);
+    }
+    // This status guarantees callers that the request has not run, but the endpoint does not state so.
+    if is_not_run_status(head.status) && !inbound.route.is_repeatable() {
+        let reason = format!("{} refused without stating that the request has not run", permit.endpoint.id);
+        permit.finish(Outcome::Failed);
+        return Attempt::MayHaveRun(reason);
+    }
+    if head.status >= 500 {
+        permit.finish(Outcome::Failed);
+    }
+    Attempt::Response { head, body }
+}
+
+fn count(context: &Context, attempt: &Attempt) {
+    let outcome = match attempt {
+        Attempt::Response { .. } => "answered",
+        Attempt::NotRun(_) => "not_run",
+        Attempt::MayHaveRun(_) => "broken",
+    };
+    context.metrics.sends.with_label_values(&[outcome]).inc();
+}
