--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -6,7 +6,7 @@
 use async_std::task::{self, JoinHandle};
 use prometheus::{IntGauge, Registry};
 use tarragonhill_core::{Clock, gateway::digest::Member};
-use tarragonhill_gateway::{Gateway, Settings, Store, View};
+use tarragonhill_gateway::{Gateway, Settings, Status, Store};
 use tarragonhill_http::server::{Inbound, Limits, Outbound, Server};
 use tarragonhill_platform::{READINESS, claims::Claims, dialect::Dialect, store};
 
@@ -57,7 +57,7 @@
             error,
         })?;
         let admin = server.address();
-        let admin_state = Admin { view: gateway.view(), dropped: dropped_lines(&registry), registry };
+        let admin_state = Admin { status: gateway.status(), dropped: dropped_lines(&registry), registry };
         let answering = task::spawn(server.serve(move |inbound| answer(inbound, admin_state.clone())));
         spdlog::info!("gateway started", kv: {
             name = &*common.name, zone = &*common.zone, listen = gateway.address().to_string().as_str()
@@ -105,7 +105,7 @@
 /// What the admin address answers from.
 #[derive(Clone)]
 struct Admin {
-    view: View,
+    status: Status,
     registry: Registry,
     /// Log lines dropped since the start.
     dropped: IntGauge,
@@ -121,14 +121,14 @@
 }
 
 async fn answer(inbound: Inbound, admin: Admin) -> Outbound {
-    let is_ready = admin.view.is_ready();
+    let is_ready = admin.status.is_ready();
     if inbound.path == READINESS {
         return Outbound::text(if is_ready { 200 } else { 503 }, "");
     }
     if inbound.path == "/state" {
-        return Outbound::json(200, &admin.view.dump().await);
+        return Outbound::json(200, &admin.status.dump().await);
     }
-    admin.view.update_metrics().await;
+    admin.status.update_metrics().await;
     admin.dropped.set(i64::try_from(logging::dropped()).unwrap_or(i64::MAX));
     admin::common(&inbound, &admin.registry, is_ready).unwrap_or_else(|| admin::not_found(&inbound))
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -23,4 +23,4 @@
 mod timing;
 mod unary;
 
-pub use server::{Gateway, Settings, StartError, Store, View};
+pub use server::{Gateway, Settings, StartError, Status, Store};
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -162,9 +162,9 @@
         self.peer
     }
 
-    /// Returns a handle for the admin address.
-    pub fn view(&self) -> View {
-        View(self.context.clone())
+    /// Returns the status for the admin address.
+    pub fn status(&self) -> Status {
+        Status(self.context.clone())
     }
 
     /// Cancels all tasks at once, as in a crash: without notice to peers and without a drain.
@@ -220,9 +220,9 @@
 
 /// Status of a gateway for its admin address.
 #[derive(Clone)]
-pub struct View(Arc<Context>);
+pub struct Status(Arc<Context>);
 
-impl View {
+impl Status {
     /// Returns whether callers may be sent here: a configuration is known and no shutdown is in progress.
     pub fn is_ready(&self) -> bool {
         self.0.control.catalog().is_some() && !self.0.is_shutting_down()
