--- a/crates/gateway/src/unary.rs
+++ b/crates/gateway/src/unary.rs
@@ -198,7 +198,8 @@
         return Attempt::NotRun(reason);
     }
     if !reply.is_signed || reply.is_encoded {
-        let reason = format!("{}: invalid response, status {}", permit.endpoint.id, head.status);
+        let reason =
+            format!("{}: unsigned or re-encoded response, status {}", permit.endpoint.id, head.status);
         permit.finish(Outcome::Failed);
         return Attempt::MayHaveRun(reason);
     }
