--- a/crates/gateway/src/handover.rs
+++ b/crates/gateway/src/sync.rs
@@ -1,8 +1,8 @@
-//! Knowledge of the store, handed from entry to entry.
+//! Replication of store snapshots between gateways.
 //!
-//! An entry that the store does not reach would refuse every caller if it has just started, and serve them
-//! by replaced routes and withdrawn keys if it has not. The other entries have what it lacks; digests tell
-//! it who they are and how new their copies are, and it asks them.
+//! A gateway that cannot reach the store has no configuration after a start, or serves by an outdated one.
+//! It fetches a snapshot from its peers instead; their digests say where they listen and how new their
+//! copies of the store are.
 
 use std::{pin::Pin, sync::Arc, time::Duration};
 
@@ -22,27 +22,26 @@
 
 use crate::{context::Context, control::Control, edge::Update};
 
-/// Longest wait for an entry's answer to begin, and for each further chunk of it: it has it in memory.
-/// The whole has no deadline, since its size is the operator's to choose.
-const LIMIT: Duration = Duration::from_millis(800);
-/// Bytes in a chunk of an answer: some hundredths of a second on a slow link.
+/// Timeout for connecting, for the response to begin and for each chunk. The whole transfer has no deadline,
+/// because the size of the configuration is up to the operator.
+const STEP_TIMEOUT: Duration = Duration::from_millis(800);
+/// Size of a chunk, bytes; small enough for a slow link to carry within the timeout.
 const CHUNK: usize = 32 << 10;
-/// Largest answer that is read, bytes.
-const LARGEST: usize = 32 << 20;
-/// Pause before all entries are asked again: digests come ten times a second and name new ones.
-const PAUSE: Duration = Duration::from_millis(150);
-/// How often an entry that has read the store checks whether it lacks what others have.
+/// Maximum size of a snapshot, bytes.
+const MAX_SNAPSHOT: usize = 32 << 20;
+/// Delay before all peers are asked again.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Interval at which an initialized gateway checks whether a peer has newer data.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Entries that are listened to: one may itself have been cut off from the store for long, and the newest
-/// of what they tell is taken.
-const MOST_TOLD: usize = 3;
+/// Number of snapshots fetched at startup. A single peer may itself have an outdated copy.
+const MAX_SNAPSHOTS: usize = 3;
 
-/// Serves other entries.
+/// Serves snapshots to peers.
 pub(crate) fn serve(incoming: TcpIncoming, control: Control) -> JoinHandle<()> {
     let service = entry_server::EntryServer::new(Service(control));
     task::spawn(async move {
         if let Err(error) = Server::builder().add_service(service).serve_with_incoming(incoming).await {
-            spdlog::error!("handover ended", kv: { reason = error.to_string().as_str() });
+            spdlog::error!("snapshot server failed", kv: { reason = error.to_string().as_str() });
         }
     })
 }
@@ -58,6 +57,7 @@
     async fn tell(&self, question: Request<proto::Question>) -> Result<Response<Chunks>, Status> {
         let snapshot = self.0.snapshot().await;
         let mut snapshot = snapshot.ok_or_else(|| Status::unavailable("nothing has been read yet"))?;
+        // The peer already has this configuration, so it is left out.
         if snapshot.versions.configuration <= question.into_inner().configuration {
             snapshot.configuration = Arc::default();
         }
@@ -68,61 +68,61 @@
     }
 }
 
-/// Asks the other entries until this one is informed, if the store does not answer at once; then for
-/// what they have read and the store has not given to this one.
-pub(crate) async fn learn(context: Arc<Context>) {
-    context.control.informed(&context.clock).await;
+/// Fetches snapshots from peers until this gateway is initialized, unless the store responds soon after the
+/// start. From then on, fetches data that the store should have delivered but only a peer has.
+pub(crate) async fn run(context: Arc<Context>) {
+    context.control.wait_initialized(&context.clock).await;
     loop {
-        if context.control.is_informed() {
-            let ahead = context.control.ahead().await;
-            let member = ahead.choose(&mut rand::rng()).cloned();
+        if context.control.is_initialized() {
+            let newer = context.control.newer_peers().await;
+            let member = newer.choose(&mut rand::rng()).cloned();
             if let Some(member) = member {
                 fetch(&context, &member).await;
             }
             context.clock.sleep(CHECK_INTERVAL).await;
         } else {
-            ask_around(&context).await;
-            context.clock.sleep(PAUSE).await;
+            fetch_from_peers(&context).await;
+            context.clock.sleep(RETRY_DELAY).await;
         }
     }
 }
 
-async fn ask_around(context: &Context) {
-    let mut told = 0;
+async fn fetch_from_peers(context: &Context) {
+    let mut fetched = 0;
     for member in context.control.members().await {
-        told += usize::from(fetch(context, &member).await);
-        if told >= MOST_TOLD {
+        fetched += usize::from(fetch(context, &member).await);
+        if fetched >= MAX_SNAPSHOTS {
             return;
         }
     }
 }
 
-/// Fetches what another entry has; false if it does not answer.
+/// Fetches and applies a peer's snapshot. Returns whether the peer sent one.
 async fn fetch(context: &Context, member: &Member) -> bool {
     let question = proto::Question { configuration: context.control.versions().await.configuration };
-    match ask(member, question).await {
+    match request_snapshot(member, question).await {
         Ok(snapshot) => {
-            take(context, member, snapshot);
+            apply(context, member, snapshot);
             true
         }
         Err(reason) => {
-            spdlog::debug!("not told", kv: { peer = &*member.name, reason = reason.as_str() });
+            spdlog::debug!("fetching a snapshot failed", kv: { peer = &*member.name, reason = reason.as_str() });
             false
         }
     }
 }
 
-async fn ask(member: &Member, question: proto::Question) -> Result<Snapshot, String> {
+async fn request_snapshot(member: &Member, question: proto::Question) -> Result<Snapshot, String> {
     let endpoint = Endpoint::from_shared(format!("http://{}", member.address));
     let endpoint = endpoint.map_err(|error| error.to_string())?;
-    let channel = in_time(endpoint.connect()).await?.map_err(|error| error.to_string())?;
+    let channel = with_timeout(endpoint.connect()).await?.map_err(|error| error.to_string())?;
     let mut client = EntryClient::new(channel);
-    let told = in_time(client.tell(question)).await?;
-    let mut chunks = told.map_err(|status| status.to_string())?.into_inner();
+    let response = with_timeout(client.tell(question)).await?;
+    let mut chunks = response.map_err(|status| status.to_string())?.into_inner();
     let mut bytes = Vec::new();
-    while let Some(chunk) = in_time(chunks.message()).await?.map_err(|status| status.to_string())? {
-        if bytes.len() + chunk.data.len() > LARGEST {
-            return Err("answer too large".into());
+    while let Some(chunk) = with_timeout(chunks.message()).await?.map_err(|status| status.to_string())? {
+        if bytes.len() + chunk.data.len() > MAX_SNAPSHOT {
+            return Err("snapshot too large".into());
         }
         bytes.extend_from_slice(&chunk.data);
     }
@@ -130,27 +130,27 @@
     Snapshot::try_from(snapshot).map_err(|error| error.to_string())
 }
 
-async fn in_time<T>(step: impl Future<Output = T>) -> Result<T, String> {
-    timeout(LIMIT, step).await.map_err(|_| "no answer in time".to_string())
+async fn with_timeout<T>(step: impl Future<Output = T>) -> Result<T, String> {
+    timeout(STEP_TIMEOUT, step).await.map_err(|_| "request timed out".to_string())
 }
 
-fn take(context: &Context, member: &Member, snapshot: Snapshot) {
+fn apply(context: &Context, member: &Member, snapshot: Snapshot) {
     let Snapshot { versions, configuration, listing } = snapshot;
     let order = versions.configuration;
-    spdlog::info!("told by another entry", kv: {
+    spdlog::info!("snapshot fetched from a peer", kv: {
         peer = &*member.name, order, configuration = configuration.len(), endpoints = listing.rows.len()
     });
     if !configuration.is_empty() {
-        match context.dialect.catalog(&configuration) {
+        match context.dialect.decode_catalog(&configuration) {
             Ok(catalog) => {
                 let catalog = Arc::new(catalog);
                 context.control.update(Update::Catalog { order, catalog, source: configuration });
             }
             Err(reason) => {
-                spdlog::warn!("configuration ignored", kv: { peer = &*member.name, reason = reason.as_str() });
+                spdlog::warn!("invalid configuration ignored", kv: { peer = &*member.name, reason = reason.as_str() });
                 return;
             }
         }
     }
-    context.control.update(Update::ToldListing { listing, newest: versions.endpoints });
+    context.control.update(Update::PeerListing { listing, newest: versions.endpoints });
 }
