--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -20,7 +20,7 @@
     home::{self, Home, Start},
     message::{Load, Order, Work},
     placement::{Need, Policy, Search, View},
-    quota::{Loan, Purse, Waiter},
+    quota::{Limiter, LoanRequest, Waiter},
     settings::{Customer, Endpoint, Key, Role, Row, Running, Snapshot, digest},
 };
 
@@ -122,7 +122,7 @@
 pub async fn execute() -> Result<bool, FleetError> {
     settings();
     homes();
-    purses();
+    limiters();
     placement();
     agent_queue();
     links().await?;
@@ -227,7 +227,7 @@
         for round in 1..=2 {
             let now = Time::ZERO.plus(Duration::from_millis(500 * round));
             for customer in &names {
-                let loan = Loan { tokens: 1_000, minimum: 0, unspent: 0, refund: 0, serial: round };
+                let loan = LoanRequest { tokens: 1_000, minimum: 0, unspent: 0, refund: 0, serial: round };
                 let _ = std::hint::black_box(home.lend(now, &settings, customer, &borrower, loan));
             }
         }
@@ -238,29 +238,29 @@
     series.fit();
 }
 
-/// An entry's purses, one request a second for each active customer.
-fn purses() {
+/// An entry's limiters, one request a second for each active customer.
+fn limiters() {
     let mut series =
         Series::new("entry", "purses, one request a second for each customer", "active customers");
     for n in CUSTOMERS {
         let before = resident();
-        let mut purses: Vec<Purse> = (0..n).map(|_| Purse::new(Time::ZERO)).collect();
+        let mut limiters: Vec<Limiter> = (0..n).map(|_| Limiter::new(Time::ZERO)).collect();
         let began = Instant::now();
         let now = Time::ZERO.plus(Duration::from_secs(1));
         let mut asked = 0_usize;
-        for (number, purse) in purses.iter_mut().enumerate() {
-            let until = now.plus(Duration::from_millis(300));
-            purse.admit(now, Waiter { request: Request(number as u128), cost: 500, until });
-            if let Some(loan) = purse.ask(now) {
+        for (number, limiter) in limiters.iter_mut().enumerate() {
+            let deadline = now.plus(Duration::from_millis(300));
+            limiter.admit(now, Waiter { request: Request(number as u128), cost: 500, deadline });
+            if let Some(loan) = limiter.request_tokens(now) {
                 asked += 1;
                 let grant = tarragonhill_core::quota::Grant {
                     tokens: loan.tokens,
                     term: Duration::from_secs(4),
                     ..Default::default()
                 };
-                std::hint::black_box(purse.answered(now, loan.serial, grant));
+                std::hint::black_box(limiter.receive_grant(now, loan.serial, grant));
             }
-            std::hint::black_box(purse.next_at());
+            std::hint::black_box(limiter.next_wakeup());
         }
         let cpu_us_per_s = began.elapsed().as_secs_f64() * 1e6;
         let bytes = resident().saturating_sub(before) as f64;
--- a/crates/core/src/home.rs
+++ b/crates/core/src/home.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     clock::Time,
-    quota::{Grant, Lender, Loan, Share, TERM},
+    quota::{Grant, LOAN_TERM, Lender, LoanRequest, Share},
     settings::Snapshot,
 };
 
@@ -313,7 +313,7 @@
         settings: &Snapshot,
         customer: &Arc<str>,
         borrower: &Arc<str>,
-        loan: Loan,
+        loan: LoanRequest,
     ) -> Result<Grant, Elsewhere> {
         let shard = shard(customer);
         let renewed = self.is_renewed(now);
@@ -328,7 +328,7 @@
             return Err(elsewhere());
         }
         if now < tenure.opens {
-            return Ok(Grant { tokens: 0, term: TERM, retry_after: tenure.opens.since(now) });
+            return Ok(Grant { tokens: 0, term: LOAN_TERM, retry_after: tenure.opens.since(now) });
         }
         // Guards against a second home: this process may be cut off from both the table and the
         // successor, which then lends the other half.
@@ -517,7 +517,7 @@
 impl Tenure {
     fn begin(now: Time, row: &Shard) -> Self {
         let opens = match row.start {
-            Start::Empty => now.plus(TERM + LEASE_MARGIN),
+            Start::Empty => now.plus(LOAN_TERM + LEASE_MARGIN),
             Start::Full | Start::Handed(_) => now,
         };
         Self {
@@ -547,9 +547,9 @@
     fn lender(&self, name: &Arc<str>, terms: &crate::settings::Customer, opens: Time, now: Time) -> Lender {
         match self {
             Self::Full => Lender::full(terms, now),
-            Self::Empty => Lender::handed(terms, 0, 0, opens),
+            Self::Empty => Lender::with_level(terms, 0, 0, opens),
             Self::Handed(levels) => match levels.get(name) {
-                Some(handed) => Lender::handed(terms, handed.level, handed.lent, opens),
+                Some(handed) => Lender::with_level(terms, handed.level, handed.lent, opens),
                 None => Lender::full(terms, now),
             },
         }
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -6,7 +6,7 @@
 use crate::{
     id::Attempt,
     quarantine::Strike,
-    quota::{Grant, Loan},
+    quota::{Grant, LoanRequest},
     refusal::Code,
 };
 
@@ -228,7 +228,7 @@
         /// The customer.
         customer: Arc<str>,
         /// The question.
-        loan: Loan,
+        loan: LoanRequest,
     },
     /// A heartbeat.
     Beat(Beat),
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -1,7 +1,7 @@
 //! Rate and burst of a customer over the whole fleet.
 //!
 //! Each customer has one home among the entries. The home's [`Lender`] keeps the token bucket and
-//! lends slices with a term; each entry's [`Purse`] spends only from the slice in hand. At every
+//! lends slices with a term; each entry's [`Limiter`] spends only from the slice in hand. At every
 //! moment `level + lent <= burst`, so no window of length `t` sees more than
 //! `rate * t + burst` tokens spent, whatever is lost, repeated, delayed or paused.
 
@@ -16,7 +16,7 @@
 const MICRO: u64 = 1_000_000;
 
 /// How long a slice may be spent, counted by the borrower from when it asked.
-pub const TERM: Duration = Duration::from_secs(4);
+pub const LOAN_TERM: Duration = Duration::from_secs(4);
 /// How much longer than the term the lender counts a slice as lent. The lender starts counting
 /// when it grants, which is never before the borrower asked, so any margin above zero covers
 /// rounding.
@@ -127,7 +127,7 @@
 
 /// A borrower's question to the home.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Loan {
+pub struct LoanRequest {
     /// Tokens wanted.
     pub tokens: u64,
     /// Fewer than these are of no use.
@@ -152,7 +152,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Lent {
+struct Loan {
     serial: u64,
     grant: Grant,
     /// Tokens that may still be spent from this loan.
@@ -165,7 +165,7 @@
 pub struct Lender {
     bucket: Bucket,
     /// By borrower. The sum of their tokens and the bucket's level never exceeds the burst.
-    lent: BTreeMap<Arc<str>, Lent>,
+    loans: BTreeMap<Arc<str>, Loan>,
     share: Share,
     rate: u64,
     burst: u64,
@@ -179,14 +179,14 @@
 
     /// A lender that starts at `opens` with `level` tokens handed over by the last home, which has
     /// `lent` more that may still be spent for one term.
-    pub fn handed(customer: &Customer, level: u64, lent: u64, opens: Time) -> Self {
+    pub fn with_level(customer: &Customer, level: u64, lent: u64, opens: Time) -> Self {
         let mut bucket = Bucket::empty(customer.rate, customer.burst, opens);
         bucket.level = level.saturating_mul(MICRO).min(bucket.cap);
         let mut lender = Self::with(bucket, customer);
         if lent > 0 {
-            let until = opens.plus(TERM).plus(LENDER_MARGIN);
-            let last = Lent { serial: 0, grant: Grant::default(), tokens: lent, until };
-            lender.lent.insert(LAST_HOME.into(), last);
+            let until = opens.plus(LOAN_TERM).plus(LENDER_MARGIN);
+            let last = Loan { serial: 0, grant: Grant::default(), tokens: lent, until };
+            lender.loans.insert(LAST_HOME.into(), last);
         }
         lender
     }
@@ -194,7 +194,7 @@
     fn with(bucket: Bucket, customer: &Customer) -> Self {
         Self {
             bucket,
-            lent: BTreeMap::new(),
+            loans: BTreeMap::new(),
             share: Share::WHOLE,
             rate: customer.rate,
             burst: customer.burst,
@@ -215,7 +215,7 @@
 
     /// Tokens lent and not known to be spent or given back.
     pub fn outstanding(&self) -> u64 {
-        self.lent.values().map(|lent| lent.tokens).sum()
+        self.loans.values().map(|lent| lent.tokens).sum()
     }
 
     /// Whole tokens in the bucket.
@@ -227,15 +227,15 @@
     /// Forgets loans whose term is over. Their tokens count as spent: the bucket is never
     /// refilled by guess.
     fn settle(&mut self, now: Time) {
-        self.lent.retain(|_, lent| lent.until > now);
+        self.loans.retain(|_, lent| lent.until > now);
         let outstanding = self.outstanding();
         self.bucket.refill(now, outstanding);
     }
 
     /// Answers a borrower.
-    pub fn lend(&mut self, now: Time, borrower: &Arc<str>, loan: Loan) -> Grant {
+    pub fn lend(&mut self, now: Time, borrower: &Arc<str>, loan: LoanRequest) -> Grant {
         self.settle(now);
-        if let Some(last) = self.lent.get(borrower) {
+        if let Some(last) = self.loans.get(borrower) {
             if loan.serial == last.serial {
                 return last.grant;
             }
@@ -244,18 +244,18 @@
                 return Grant::default();
             }
         }
-        let before = self.lent.get(borrower).map_or(0, |lent| lent.tokens);
+        let before = self.loans.get(borrower).map_or(0, |lent| lent.tokens);
         let kept = loan.unspent.min(before);
-        self.lent.remove(borrower);
+        self.loans.remove(borrower);
         self.refund(loan.refund, kept);
         let grant = self.grant(loan);
-        let lent = Lent {
+        let lent = Loan {
             serial: loan.serial,
             grant,
             tokens: kept + grant.tokens,
-            until: now.plus(TERM).plus(LENDER_MARGIN),
+            until: now.plus(LOAN_TERM).plus(LENDER_MARGIN),
         };
-        self.lent.insert(borrower.clone(), lent);
+        self.loans.insert(borrower.clone(), lent);
         grant
     }
 
@@ -265,18 +265,18 @@
         self.bucket.level += tokens.saturating_mul(MICRO).min(room);
     }
 
-    fn grant(&mut self, loan: Loan) -> Grant {
+    fn grant(&mut self, loan: LoanRequest) -> Grant {
         let available = self.bucket.level / MICRO;
         if loan.minimum > available {
             // What can never be saved up for (above the burst) is told to come back after a term.
-            let retry_after = self.bucket.wait(loan.minimum).unwrap_or(TERM);
-            return Grant { tokens: 0, term: TERM, retry_after };
+            let retry_after = self.bucket.wait(loan.minimum).unwrap_or(LOAN_TERM);
+            return Grant { tokens: 0, term: LOAN_TERM, retry_after };
         }
         // What is asked for ahead of need comes from plenty only: near the end of the bucket,
         // tokens in one entry's hand would be missing at another.
         let tokens = loan.tokens.min((available / RESERVE).max(loan.minimum));
         self.bucket.level -= tokens * MICRO;
-        Grant { tokens, term: TERM, retry_after: Duration::ZERO }
+        Grant { tokens, term: LOAN_TERM, retry_after: Duration::ZERO }
     }
 }
 
@@ -288,23 +288,23 @@
     /// Tokens it costs.
     pub cost: u64,
     /// It is refused if it still waits then.
-    pub until: Time,
+    pub deadline: Time,
 }
 
 /// What became of a request that asked for tokens.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Admission {
     /// Paid; it may run.
     Admitted(Request),
     /// Not within the rate; come back after the span.
     OverRate(Request, Duration),
     /// The home could not be reached in time.
-    HomeSilent(Request),
+    HomeUnreachable(Request),
 }
 
 /// An entry's side of one customer: the slice in hand and the requests that wait for more.
 #[derive(Clone, Debug, Default)]
-pub struct Purse {
+pub struct Limiter {
     /// Tokens that may be spent before `until`.
     hand: u64,
     until: Time,
@@ -325,18 +325,18 @@
     pace: u64,
 }
 
-impl Purse {
-    /// An empty purse. Its serials start at `now`, so that a purse that was dropped and made again
+impl Limiter {
+    /// An empty limiter. Its serials start at `now`, so that a limiter that was dropped and made again
     /// never repeats one.
     pub fn new(now: Time) -> Self {
         Self { serial: now.as_micros(), ..Self::default() }
     }
 
     /// Admits a request if the slice in hand pays for it, else lets it wait.
-    pub fn admit(&mut self, now: Time, waiter: Waiter) -> Option<Verdict> {
+    pub fn admit(&mut self, now: Time, waiter: Waiter) -> Option<Admission> {
         self.expire(now);
         if self.waiters.is_empty() && self.spend(waiter.cost) {
-            return Some(Verdict::Admitted(waiter.request));
+            return Some(Admission::Admitted(waiter.request));
         }
         self.waiters.push_back(waiter);
         None
@@ -363,12 +363,12 @@
     }
 
     /// Withdraws a waiting request whose caller has left.
-    pub fn forget(&mut self, request: Request) {
+    pub fn cancel(&mut self, request: Request) {
         self.waiters.retain(|waiter| waiter.request != request);
     }
 
     /// The question to ask the home now, if one makes sense.
-    pub fn ask(&mut self, now: Time) -> Option<Loan> {
+    pub fn request_tokens(&mut self, now: Time) -> Option<LoanRequest> {
         self.expire(now);
         self.measure(now);
         if self.asked.is_some_and(|asked| now.since(asked) < ASK_TIMEOUT) || now < self.ask_after {
@@ -387,7 +387,7 @@
         let idle = waiting == 0 && !low;
         self.serial += 1;
         self.asked = Some(now);
-        Some(Loan {
+        Some(LoanRequest {
             tokens: if idle { 0 } else { (waiting + ahead).saturating_sub(self.hand) },
             minimum: self.waiters.front().map_or(0, |waiter| waiter.cost),
             unspent: self.hand,
@@ -408,7 +408,7 @@
 
     /// Takes the home's reply to question `serial`; a late reply to an older one is dropped, its
     /// tokens are lost.
-    pub fn answered(&mut self, now: Time, serial: u64, grant: Grant) -> Vec<Verdict> {
+    pub fn receive_grant(&mut self, now: Time, serial: u64, grant: Grant) -> Vec<Admission> {
         let Some(asked) = self.asked.filter(|_| serial == self.serial) else { return Vec::new() };
         self.asked = None;
         self.silent = false;
@@ -421,34 +421,35 @@
         if grant.tokens == 0 {
             self.ask_after = now.plus(grant.retry_after.max(ASK_PAUSE));
         }
-        let mut verdicts = self.serve();
-        verdicts.extend(self.refuse(now, grant.retry_after));
-        verdicts
+        let mut admissions = self.serve();
+        admissions.extend(self.refuse(now, grant.retry_after));
+        admissions
     }
 
-    fn serve(&mut self) -> Vec<Verdict> {
-        let mut verdicts = Vec::new();
+    fn serve(&mut self) -> Vec<Admission> {
+        let mut admissions = Vec::new();
         while let Some(front) = self.waiters.front() {
             let cost = front.cost;
             if !self.spend(cost) {
                 break;
             }
-            verdicts.extend(self.waiters.pop_front().map(|waiter| Verdict::Admitted(waiter.request)));
+            admissions.extend(self.waiters.pop_front().map(|waiter| Admission::Admitted(waiter.request)));
         }
-        verdicts
+        admissions
     }
 
     /// Refuses at once those that the next tokens would reach too late: a caller that will be
     /// refused hears it now, with the time to come back.
-    fn refuse(&mut self, now: Time, retry_after: Duration) -> Vec<Verdict> {
+    fn refuse(&mut self, now: Time, retry_after: Duration) -> Vec<Admission> {
         let next = now.plus(retry_after);
-        let (late, rest): (VecDeque<_>, _) = self.waiters.drain(..).partition(|waiter| waiter.until < next);
+        let (late, rest): (VecDeque<_>, _) =
+            self.waiters.drain(..).partition(|waiter| waiter.deadline < next);
         self.waiters = rest;
-        late.into_iter().map(|waiter| Verdict::OverRate(waiter.request, retry_after)).collect()
+        late.into_iter().map(|waiter| Admission::OverRate(waiter.request, retry_after)).collect()
     }
 
     /// Notes that the home could not be reached.
-    pub fn unanswered(&mut self, now: Time, serial: u64) {
+    pub fn record_failure(&mut self, now: Time, serial: u64) {
         if serial == self.serial {
             self.asked = None;
             self.silent = true;
@@ -457,32 +458,33 @@
     }
 
     /// Refuses those that waited too long.
-    pub fn expired(&mut self, now: Time) -> Vec<Verdict> {
+    pub fn expire_waiters(&mut self, now: Time) -> Vec<Admission> {
         let silent = self.silent || self.asked.is_some();
-        let (late, rest): (VecDeque<_>, _) = self.waiters.drain(..).partition(|waiter| waiter.until <= now);
+        let (late, rest): (VecDeque<_>, _) =
+            self.waiters.drain(..).partition(|waiter| waiter.deadline <= now);
         self.waiters = rest;
         let retry_after = self.ask_after.since(now).max(ASK_TIMEOUT);
-        let verdict = |waiter: Waiter| match silent {
-            true => Verdict::HomeSilent(waiter.request),
-            false => Verdict::OverRate(waiter.request, retry_after),
+        let admission = |waiter: Waiter| match silent {
+            true => Admission::HomeUnreachable(waiter.request),
+            false => Admission::OverRate(waiter.request, retry_after),
         };
-        late.into_iter().map(verdict).collect()
+        late.into_iter().map(admission).collect()
     }
 
-    /// Whether nothing is in hand, asked or waiting, so that the purse may be dropped.
+    /// Whether nothing is in hand, asked or waiting, so that the limiter may be dropped.
     pub fn is_idle(&self, now: Time) -> bool {
         let empty = self.hand == 0 || now >= self.until;
         empty && self.waiters.is_empty() && self.refund == 0 && self.asked.is_none()
     }
 
     /// Tokens in hand at `now`.
-    pub fn in_hand(&self, now: Time) -> u64 {
+    pub fn available(&self, now: Time) -> u64 {
         if now < self.until { self.hand } else { 0 }
     }
 
-    /// When the purse wants attention again, if nothing else happens before.
-    pub fn next_at(&self) -> Option<Time> {
-        let overdue = self.waiters.iter().map(|waiter| waiter.until).min();
+    /// When the limiter wants attention again, if nothing else happens before.
+    pub fn next_wakeup(&self) -> Option<Time> {
+        let overdue = self.waiters.iter().map(|waiter| waiter.deadline).min();
         let ask = match (self.asked, self.waiters.is_empty() && self.refund == 0) {
             (Some(asked), _) => Some(asked.plus(ASK_TIMEOUT)),
             (None, false) => Some(self.ask_after),
--- a/crates/core/tests/home.rs
+++ b/crates/core/tests/home.rs
@@ -5,7 +5,7 @@
 use tarragonhill_core::{
     Time,
     home::{Home, LEASE, MEMBER_PREFIX, SHARD_PREFIX, SHARDS, Write},
-    quota::{Loan, TERM},
+    quota::{LOAN_TERM, LoanRequest},
     settings::{Customer, Row, Snapshot},
 };
 
@@ -107,7 +107,7 @@
     /// What `name` lends for the asking; none if it is not the home.
     fn lend(&mut self, name: &str, tokens: u64) -> Option<u64> {
         self.serial += 1;
-        let loan = Loan { tokens, minimum: 1, unspent: 0, refund: 0, serial: self.serial };
+        let loan = LoanRequest { tokens, minimum: 1, unspent: 0, refund: 0, serial: self.serial };
         let home = self.entries.get_mut(name)?;
         let borrower = format!("borrower-{}", self.serial).into();
         home.lend(self.now, &self.settings, &CUSTOMER.into(), &borrower, loan).ok().map(|grant| grant.tokens)
@@ -167,7 +167,7 @@
     assert!(waited >= LEASE, "taken over while the lease stood");
     let next = world.owner(others[0]);
     assert_eq!(world.lend(&next, 1), Some(0));
-    world.pass(TERM);
+    world.pass(LOAN_TERM);
     (0..2).for_each(|_| world.round_of(&others));
     let lent = world.drain(&next);
     assert!((1..=2 * RATE).contains(&lent), "{lent} tokens at half the share");
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -5,7 +5,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use tarragonhill_core::{
     Request, Time,
-    quota::{Grant, Lender, Loan, Purse, Verdict, Waiter},
+    quota::{Admission, Grant, Lender, Limiter, LoanRequest, Waiter},
     settings::Customer,
 };
 
@@ -60,8 +60,8 @@
 
 struct Entry {
     name: Arc<str>,
-    purse: Purse,
-    question: Option<Loan>,
+    limiter: Limiter,
+    question: Option<LoanRequest>,
     reply: Option<(u64, Grant)>,
 }
 
@@ -79,7 +79,7 @@
     fn new() -> Self {
         let entry = |number: usize| Entry {
             name: format!("entry-{number}").into(),
-            purse: Purse::new(Time::ZERO),
+            limiter: Limiter::new(Time::ZERO),
             question: None,
             reply: None,
         };
@@ -93,9 +93,9 @@
         }
     }
 
-    fn note(&mut self, verdicts: impl IntoIterator<Item = Verdict>) {
-        for verdict in verdicts {
-            if let Verdict::Admitted(request) = verdict {
+    fn note(&mut self, admissions: impl IntoIterator<Item = Admission>) {
+        for admission in admissions {
+            if let Admission::Admitted(request) = admission {
                 self.spent.push((self.now, self.costs[&request]));
             }
         }
@@ -107,14 +107,14 @@
             Step::Arrive(entry, tokens) => {
                 let request = Request(self.costs.len() as u128);
                 self.costs.insert(request, tokens.into());
-                let until = self.now.plus(Duration::from_millis(300));
-                let waiter = Waiter { request, cost: tokens.into(), until };
-                let verdict = self.entries[usize::from(entry)].purse.admit(self.now, waiter);
-                self.note(verdict);
+                let deadline = self.now.plus(Duration::from_millis(300));
+                let waiter = Waiter { request, cost: tokens.into(), deadline };
+                let admission = self.entries[usize::from(entry)].limiter.admit(self.now, waiter);
+                self.note(admission);
             }
             Step::Ask(entry) => {
                 let entry = &mut self.entries[usize::from(entry)];
-                if let Some(loan) = entry.purse.ask(self.now) {
+                if let Some(loan) = entry.limiter.request_tokens(self.now) {
                     entry.question = Some(loan);
                 }
             }
@@ -127,8 +127,8 @@
             Step::Reply(entry) => {
                 let entry = &mut self.entries[usize::from(entry)];
                 let Some((serial, grant)) = entry.reply else { return };
-                let verdicts = entry.purse.answered(self.now, serial, grant);
-                self.note(verdicts);
+                let admissions = entry.limiter.receive_grant(self.now, serial, grant);
+                self.note(admissions);
             }
             Step::Lose(entry) => {
                 let entry = &mut self.entries[usize::from(entry)];
@@ -139,16 +139,16 @@
                 let spent: u64 = self.spent.iter().map(|(_, tokens)| tokens).sum();
                 let tokens = u64::from(tokens).min(spent - self.refunded);
                 self.refunded += tokens;
-                self.entries[usize::from(entry)].purse.refund(self.now, tokens);
+                self.entries[usize::from(entry)].limiter.refund(self.now, tokens);
             }
             Step::TakeOver => {
                 // The lease and the term are waited out before the next home opens.
                 self.now = self.now.plus(Duration::from_secs(5));
-                self.home = Lender::handed(&terms(), 0, 0, self.now);
+                self.home = Lender::with_level(&terms(), 0, 0, self.now);
             }
             Step::HandOver => {
                 let (level, lent) = (self.home.level(self.now), self.home.outstanding());
-                self.home = Lender::handed(&terms(), level, lent, self.now);
+                self.home = Lender::with_level(&terms(), level, lent, self.now);
             }
         }
     }
@@ -188,42 +188,42 @@
     QuickCheck::new().rng(generator).tests(400).quickcheck(never_over as fn(Vec<Step>) -> bool);
 }
 
-fn asked(purse: &mut Purse, now: Time) -> Loan {
-    purse.ask(now).expect("the purse wants tokens")
+fn asked(limiter: &mut Limiter, now: Time) -> LoanRequest {
+    limiter.request_tokens(now).expect("the limiter wants tokens")
 }
 
 fn waiter(request: u128, cost: u64, now: Time) -> Waiter {
-    Waiter { request: Request(request), cost, until: now.plus(Duration::from_millis(300)) }
+    Waiter { request: Request(request), cost, deadline: now.plus(Duration::from_millis(300)) }
 }
 
 /// An entry is paused after it was lent tokens and wakes up when their term is over. It spends
 /// them, while the home has long lent them again, so the customer is served twice its share.
 #[test]
 fn paused_borrower_does_not_spend_an_expired_slice() {
-    let (mut home, mut purse) = (Lender::full(&terms(), Time::ZERO), Purse::new(Time::ZERO));
-    assert_eq!(purse.admit(Time::ZERO, waiter(1, 500, Time::ZERO)), None);
-    let loan = Loan { tokens: 2_000, minimum: 1_000, ..asked(&mut purse, Time::ZERO) };
+    let (mut home, mut limiter) = (Lender::full(&terms(), Time::ZERO), Limiter::new(Time::ZERO));
+    assert_eq!(limiter.admit(Time::ZERO, waiter(1, 500, Time::ZERO)), None);
+    let loan = LoanRequest { tokens: 2_000, minimum: 1_000, ..asked(&mut limiter, Time::ZERO) };
     let grant = home.lend(Time::ZERO, &"a".into(), loan);
-    assert_eq!(purse.answered(Time::ZERO, loan.serial, grant), [Verdict::Admitted(Request(1))]);
-    assert!(purse.in_hand(Time::ZERO) >= 500);
+    assert_eq!(limiter.receive_grant(Time::ZERO, loan.serial, grant), [Admission::Admitted(Request(1))]);
+    assert!(limiter.available(Time::ZERO) >= 500);
     let later = Time::ZERO.plus(Duration::from_secs(10));
-    assert_eq!(purse.admit(later, waiter(2, 500, later)), None);
+    assert_eq!(limiter.admit(later, waiter(2, 500, later)), None);
 }
 
 /// The reply to a question is lost and the entry asks again. If the home lent anew without
 /// forgetting the first slice's tokens, or the entry took both replies, tokens would be made up.
 #[test]
 fn repeated_question_gets_the_same_grant_and_late_reply_none() {
-    let (mut home, mut purse) = (Lender::full(&terms(), Time::ZERO), Purse::new(Time::ZERO));
-    purse.admit(Time::ZERO, waiter(1, 500, Time::ZERO));
-    let first = asked(&mut purse, Time::ZERO);
+    let (mut home, mut limiter) = (Lender::full(&terms(), Time::ZERO), Limiter::new(Time::ZERO));
+    limiter.admit(Time::ZERO, waiter(1, 500, Time::ZERO));
+    let first = asked(&mut limiter, Time::ZERO);
     let lost = home.lend(Time::ZERO, &"a".into(), first);
     assert_eq!(home.lend(Time::ZERO, &"a".into(), first), lost);
     let later = Time::ZERO.plus(Duration::from_millis(310));
-    let second = asked(&mut purse, later);
+    let second = asked(&mut limiter, later);
     let grant = home.lend(later, &"a".into(), second);
-    assert_eq!(purse.answered(later, first.serial, lost), []);
-    assert_eq!(purse.answered(later, second.serial, grant).len(), 1);
+    assert_eq!(limiter.receive_grant(later, first.serial, lost), []);
+    assert_eq!(limiter.receive_grant(later, second.serial, grant).len(), 1);
     assert!(home.level(later) + home.outstanding() <= BURST);
 }
 
@@ -231,21 +231,22 @@
 /// what it is entitled to would be refused; borrowing, one entry may spend all of it.
 #[test]
 fn one_entry_may_spend_the_whole_rate() {
-    let (mut home, mut purse) = (Lender::full(&terms(), Time::ZERO), Purse::new(Time::ZERO));
+    let (mut home, mut limiter) = (Lender::full(&terms(), Time::ZERO), Limiter::new(Time::ZERO));
     let (mut served, mut refused) = (0, 0);
     let mut now = Time::ZERO;
     // 95 tokens each 100 ms are 95% of the rate.
     for request in 0..200 {
-        let mut verdicts: Vec<Verdict> = purse.admit(now, waiter(request, 95, now)).into_iter().collect();
-        while let Some(loan) = purse.ask(now) {
+        let mut admissions: Vec<Admission> =
+            limiter.admit(now, waiter(request, 95, now)).into_iter().collect();
+        while let Some(loan) = limiter.request_tokens(now) {
             let grant = home.lend(now, &"a".into(), loan);
-            verdicts.extend(purse.answered(now, loan.serial, grant));
+            admissions.extend(limiter.receive_grant(now, loan.serial, grant));
         }
-        verdicts.extend(purse.expired(now));
-        for verdict in verdicts {
-            match verdict {
-                Verdict::Admitted(_) => served += 1,
-                Verdict::OverRate(..) | Verdict::HomeSilent(_) => refused += 1,
+        admissions.extend(limiter.expire_waiters(now));
+        for admission in admissions {
+            match admission {
+                Admission::Admitted(_) => served += 1,
+                Admission::OverRate(..) | Admission::HomeUnreachable(_) => refused += 1,
             }
         }
         now = now.plus(Duration::from_millis(100));
@@ -257,11 +258,11 @@
 /// not held until its wait is over.
 #[test]
 fn hopeless_request_is_refused_at_once() {
-    let mut home = Lender::handed(&terms(), 0, 0, Time::ZERO);
-    let mut purse = Purse::new(Time::ZERO);
-    purse.admit(Time::ZERO, waiter(1, 1_000, Time::ZERO));
-    let loan = asked(&mut purse, Time::ZERO);
+    let mut home = Lender::with_level(&terms(), 0, 0, Time::ZERO);
+    let mut limiter = Limiter::new(Time::ZERO);
+    limiter.admit(Time::ZERO, waiter(1, 1_000, Time::ZERO));
+    let loan = asked(&mut limiter, Time::ZERO);
     let grant = home.lend(Time::ZERO, &"a".into(), loan);
-    let verdicts = purse.answered(Time::ZERO, loan.serial, grant);
-    assert_eq!(verdicts, [Verdict::OverRate(Request(1), Duration::from_secs(1))]);
+    let admissions = limiter.receive_grant(Time::ZERO, loan.serial, grant);
+    assert_eq!(admissions, [Admission::OverRate(Request(1), Duration::from_secs(1))]);
 }
--- a/crates/daemon/src/entry/control.rs
+++ b/crates/daemon/src/entry/control.rs
@@ -14,7 +14,7 @@
     message::{Answer, Ask, Breakage, Load},
     placement::Need,
     quarantine::Strike,
-    quota::{Grant, Verdict, Waiter},
+    quota::{Admission, Grant, Waiter},
     settings::{Role, Snapshot},
 };
 use tarragonhill_table::Row;
@@ -65,7 +65,7 @@
 /// What the thread is asked.
 pub(crate) enum Command {
     Settings(Arc<Snapshot>),
-    Admit(Arc<str>, Waiter, Sender<Verdict>),
+    Admit(Arc<str>, Waiter, Sender<Admission>),
     Refund(Arc<str>, u64),
     Forget(Arc<str>, Request),
     Place(Placement, Sender<Option<Placed>>),
@@ -126,7 +126,7 @@
     }
 
     /// Charges a request to its customer; completes when it may run or is refused.
-    pub(crate) async fn admit(&self, customer: &Arc<str>, waiter: Waiter) -> Option<Verdict> {
+    pub(crate) async fn admit(&self, customer: &Arc<str>, waiter: Waiter) -> Option<Admission> {
         self.ask(|reply| Command::Admit(customer.clone(), waiter, reply)).await
     }
 
--- a/crates/daemon/src/entry/owner.rs
+++ b/crates/daemon/src/entry/owner.rs
@@ -20,7 +20,7 @@
     message::{Answer, Ask},
     placement::{Need, Policy, Search, View},
     quarantine::{self, Strike},
-    quota::{Bucket, Grant, Purse, Verdict, Waiter},
+    quota::{Admission, Bucket, Grant, Limiter, Waiter},
     retry::Budget,
 };
 use tarragonhill_table::Row;
@@ -73,13 +73,13 @@
     rng: ChaCha8Rng,
     home: Home,
     members: usize,
-    purses: BTreeMap<Arc<str>, Purse>,
+    limiters: BTreeMap<Arc<str>, Limiter>,
     /// Fixed parts of the rates, for the policy that splits them.
     splits: BTreeMap<Arc<str>, Bucket>,
-    /// When each purse wants attention; holds each customer at most once.
+    /// When each limiter wants attention; holds each customer at most once.
     timers: BTreeSet<(Time, Arc<str>)>,
     timer_of: BTreeMap<Arc<str>, Time>,
-    waiting: BTreeMap<Request, Sender<Verdict>>,
+    waiting: BTreeMap<Request, Sender<Admission>>,
     view: View,
     budget: Budget,
     quarantine: quarantine::Ledger,
@@ -105,7 +105,7 @@
             control,
             rng: ChaCha8Rng::seed_from_u64(incarnation),
             members: 1,
-            purses: BTreeMap::new(),
+            limiters: BTreeMap::new(),
             splits: BTreeMap::new(),
             timers: BTreeSet::new(),
             timer_of: BTreeMap::new(),
@@ -143,9 +143,9 @@
             }
             self.timers.pop_first();
             self.timer_of.remove(&customer);
-            if let Some(purse) = self.purses.get_mut(&customer) {
-                let verdicts = purse.expired(now);
-                self.deliver(verdicts);
+            if let Some(limiter) = self.limiters.get_mut(&customer) {
+                let admissions = limiter.expire_waiters(now);
+                self.deliver(admissions);
             }
             self.pursue(now, &customer);
         }
@@ -216,63 +216,63 @@
         }
     }
 
-    fn admit(&mut self, now: Time, customer: &Arc<str>, waiter: Waiter, reply: Sender<Verdict>) {
+    fn admit(&mut self, now: Time, customer: &Arc<str>, waiter: Waiter, reply: Sender<Admission>) {
         if self.policy.splits_rates() {
             let _ = reply.try_send(self.admit_from_split(now, customer, &waiter));
             return;
         }
         self.waiting.insert(waiter.request, reply);
-        let verdict = self.purse(now, customer).admit(now, waiter);
-        self.deliver(verdict);
+        let admission = self.limiter(now, customer).admit(now, waiter);
+        self.deliver(admission);
         self.pursue(now, customer);
     }
 
-    fn admit_from_split(&mut self, now: Time, customer: &Arc<str>, waiter: &Waiter) -> Verdict {
-        let refused = Verdict::OverRate(waiter.request, IDLE);
+    fn admit_from_split(&mut self, now: Time, customer: &Arc<str>, waiter: &Waiter) -> Admission {
+        let refused = Admission::OverRate(waiter.request, IDLE);
         let settings = self.current.get();
         let Some(terms) = settings.customers.get(customer) else { return refused };
         let parts = self.members as u64;
         let fresh = || Bucket::full(terms.rate / parts, terms.burst / parts, now);
         let bucket = self.splits.entry(customer.clone()).or_insert_with(fresh);
-        bucket.take(now, waiter.cost).map_or(refused, |_| Verdict::Admitted(waiter.request))
+        bucket.take(now, waiter.cost).map_or(refused, |_| Admission::Admitted(waiter.request))
     }
 
-    fn purse(&mut self, now: Time, customer: &Arc<str>) -> &mut Purse {
-        self.purses.entry(customer.clone()).or_insert_with(|| Purse::new(now))
+    fn limiter(&mut self, now: Time, customer: &Arc<str>) -> &mut Limiter {
+        self.limiters.entry(customer.clone()).or_insert_with(|| Limiter::new(now))
     }
 
     fn refund(&mut self, now: Time, customer: &Arc<str>, tokens: u64) {
         if tokens == 0 || self.policy.splits_rates() {
             return;
         }
-        self.purse(now, customer).refund(now, tokens);
+        self.limiter(now, customer).refund(now, tokens);
         self.pursue(now, customer);
     }
 
     fn forget(&mut self, customer: &Arc<str>, request: Request) {
         self.waiting.remove(&request);
-        if let Some(purse) = self.purses.get_mut(customer) {
-            purse.forget(request);
+        if let Some(limiter) = self.limiters.get_mut(customer) {
+            limiter.cancel(request);
         }
     }
 
-    fn deliver(&mut self, verdicts: impl IntoIterator<Item = Verdict>) {
-        for verdict in verdicts {
-            let request = match &verdict {
-                Verdict::Admitted(request) | Verdict::OverRate(request, _) | Verdict::HomeSilent(request) => {
-                    *request
-                }
+    fn deliver(&mut self, admissions: impl IntoIterator<Item = Admission>) {
+        for admission in admissions {
+            let request = match &admission {
+                Admission::Admitted(request)
+                | Admission::OverRate(request, _)
+                | Admission::HomeUnreachable(request) => *request,
             };
             if let Some(reply) = self.waiting.remove(&request) {
-                let _ = reply.try_send(verdict);
+                let _ = reply.try_send(admission);
             }
         }
     }
 
     /// Asks the customer's home for tokens if that makes sense, and sets the next timer.
     fn pursue(&mut self, now: Time, customer: &Arc<str>) {
-        let Some(purse) = self.purses.get_mut(customer) else { return };
-        if let Some(loan) = purse.ask(now) {
+        let Some(limiter) = self.limiters.get_mut(customer) else { return };
+        if let Some(loan) = limiter.request_tokens(now) {
             let serial = loan.serial;
             let ask = Ask::Borrow { customer: customer.clone(), loan };
             self.borrow(now, customer, serial, ask);
@@ -311,27 +311,27 @@
     }
 
     fn settle(&mut self, now: Time, customer: &Arc<str>, serial: u64, grant: Option<Grant>) {
-        let Some(purse) = self.purses.get_mut(customer) else { return };
-        let verdicts = match grant {
-            Some(grant) => purse.answered(now, serial, grant),
+        let Some(limiter) = self.limiters.get_mut(customer) else { return };
+        let admissions = match grant {
+            Some(grant) => limiter.receive_grant(now, serial, grant),
             None => {
-                purse.unanswered(now, serial);
+                limiter.record_failure(now, serial);
                 Vec::new()
             }
         };
-        self.deliver(verdicts);
+        self.deliver(admissions);
     }
 
     fn reset_timer(&mut self, now: Time, customer: &Arc<str>) {
         if let Some(at) = self.timer_of.remove(customer) {
             self.timers.remove(&(at, customer.clone()));
         }
-        let Some(purse) = self.purses.get(customer) else { return };
-        if purse.is_idle(now) {
-            self.purses.remove(customer);
+        let Some(limiter) = self.limiters.get(customer) else { return };
+        if limiter.is_idle(now) {
+            self.limiters.remove(customer);
             return;
         }
-        if let Some(at) = purse.next_at() {
+        if let Some(at) = limiter.next_wakeup() {
             self.timers.insert((at, customer.clone()));
             self.timer_of.insert(customer.clone(), at);
         }
@@ -416,8 +416,8 @@
     }
 
     fn dump(&mut self, now: Time) -> Value {
-        let purses: BTreeMap<_, _> =
-            self.purses.iter().map(|(name, purse)| (name.clone(), purse.in_hand(now))).collect();
+        let limiters: BTreeMap<_, _> =
+            self.limiters.iter().map(|(name, limiter)| (name.clone(), limiter.available(now))).collect();
         let (endpoints, sent) = self.view.size();
         json!({
             "role": "entry",
@@ -426,7 +426,7 @@
             "lease_renewed": self.home.is_renewed(now),
             "members": self.home.live(now),
             "homes": self.home.tenures(),
-            "tokens_in_hand": purses,
+            "tokens_in_hand": limiters,
             "waiting_for_tokens": self.waiting.len(),
             "endpoints_seen": endpoints,
             "sends_not_reported": sent,
--- a/crates/daemon/src/entry/stages.rs
+++ b/crates/daemon/src/entry/stages.rs
@@ -15,7 +15,7 @@
 
 use tarragonhill_core::{
     Code, Refusal, Request, Time,
-    quota::{Verdict, Waiter},
+    quota::{Admission, Waiter},
     settings::{Key, Running},
 };
 
@@ -125,18 +125,18 @@
         unused: cost,
         admitted: false,
     };
-    let until = context.clock.now().plus(context.rate_wait);
-    let waiter = Waiter { request: ticket.request, cost, until };
+    let deadline = context.clock.now().plus(context.rate_wait);
+    let waiter = Waiter { request: ticket.request, cost, deadline };
     match context.control.admit(&customer, waiter).await {
-        Some(Verdict::Admitted(_)) => {
+        Some(Admission::Admitted(_)) => {
             charge.admitted = true;
             Ok(charge)
         }
-        Some(Verdict::OverRate(_, span)) => {
+        Some(Admission::OverRate(_, span)) => {
             Err(Refusal::not_run(Code::OverRate, "the customer has spent its rate and burst")
                 .retry_after(span))
         }
-        Some(Verdict::HomeSilent(_)) | None => {
+        Some(Admission::HomeUnreachable(_)) | None => {
             let message = "the home of the customer's rate cannot be reached";
             Err(Refusal::not_run(Code::QuotaUnavailable, message).retry_after(context.rate_wait))
         }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -311,7 +311,7 @@
         Ok(match sent {
             peer_request::Body::Borrow(borrow) => Self::Borrow {
                 customer: borrow.customer.into(),
-                loan: tarragonhill_core::quota::Loan {
+                loan: tarragonhill_core::quota::LoanRequest {
                     tokens: borrow.tokens,
                     minimum: borrow.minimum,
                     unspent: borrow.unspent,
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -15,7 +15,7 @@
     },
     message::{Answer, Ask, Beat, Breakage, Event, Load, Order, Work},
     quarantine::Strike,
-    quota::{Grant, Loan},
+    quota::{Grant, LoanRequest},
 };
 use tarragonhill_wire::{DecodeError, proto};
 
@@ -95,7 +95,7 @@
 
 #[test]
 fn questions_and_answers_of_peers_survive() {
-    let loan = Loan { tokens: 1, minimum: 2, unspent: 3, refund: 4, serial: 5 };
+    let loan = LoanRequest { tokens: 1, minimum: 2, unspent: 3, refund: 4, serial: 5 };
     for ask in [
         Ask::Borrow { customer: name("faculty"), loan },
         Ask::Beat(beat()),
