--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -17,7 +17,7 @@
 use tarragonhill_core::{
     Attempt, Request, Time,
     agent::{Input, State},
-    home::{self, Home, Start},
+    home::{self, Home, InitialBuckets},
     message::{Load, Order, Work},
     placement::{Need, Policy, Search, View},
     quota::{Limiter, LoanRequest, Waiter},
@@ -207,7 +207,7 @@
             successor: "".into(),
             share: 1.0,
             parted: Default::default(),
-            start: Start::Full,
+            start: InitialBuckets::Full,
         };
         home.observe_shard(Time::ZERO, shard, 1, row);
     }
--- a/crates/core/src/home.rs
+++ b/crates/core/src/home.rs
@@ -74,24 +74,24 @@
     /// Owners not yet known to be gone; the share is whole only without any.
     pub parted: BTreeMap<Arc<str>, u64>,
     /// What the owner starts with.
-    pub start: Start,
+    pub start: InitialBuckets,
 }
 
 /// What a home starts with.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Start {
+pub enum InitialBuckets {
     /// Full buckets: nobody has lent before.
     Full,
     /// Empty buckets: the last owner's level is not known.
     Empty,
     /// What the last owner handed over; customers not named are new and start full.
-    Handed(BTreeMap<Arc<str>, Handed>),
+    Handed(BTreeMap<Arc<str>, BucketState>),
 }
 
 /// One customer's state at a handover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Handed {
+pub struct BucketState {
     /// Tokens in the bucket.
     pub level: u64,
     /// Tokens lent that may still be spent for one term.
@@ -121,7 +121,7 @@
 
 /// Who is the home, for an entry that asked the wrong one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Elsewhere {
+pub struct NotHome {
     /// The owner as far as known, empty if there is none.
     pub owner: Arc<str>,
     /// Epoch of that ownership.
@@ -130,11 +130,11 @@
 
 /// A shard this process lends for.
 #[derive(Clone, Debug)]
-struct Tenure {
+struct OwnedShard {
     epoch: u64,
     share: Share,
     /// What customers without a lender start with.
-    start: Start,
+    start: InitialBuckets,
     /// Nothing is lent before then: the last owner's slices may still be spent.
     opens: Time,
     lenders: BTreeMap<Arc<str>, Lender>,
@@ -142,7 +142,7 @@
     offered: Option<Time>,
 }
 
-/// One entry's view of all homes, and its own tenures.
+/// One entry's view of all homes, and its owned shards.
 #[derive(Clone, Debug)]
 pub struct Home {
     me: Arc<str>,
@@ -155,7 +155,7 @@
     leaving: bool,
     members: BTreeMap<Arc<str>, Versioned<Member>>,
     shards: BTreeMap<u32, Versioned<Shard>>,
-    tenures: BTreeMap<u32, Tenure>,
+    owned_shards: BTreeMap<u32, OwnedShard>,
     /// Renewals granted to members as their successor: no takeover before then.
     promised: BTreeMap<Arc<str>, Time>,
     /// Hosts that the platform says are gone.
@@ -175,40 +175,40 @@
             leaving: false,
             members: BTreeMap::new(),
             shards: BTreeMap::new(),
-            tenures: BTreeMap::new(),
+            owned_shards: BTreeMap::new(),
             promised: BTreeMap::new(),
             gone: BTreeSet::new(),
         }
     }
 
-    /// The write that renews the own lease. Pass the time before the write to [`Home::renewed`].
-    pub fn renewal(&mut self) -> Write {
+    /// The write that renews the own lease. Pass the time before the write to [`Home::extend_lease`].
+    pub fn prepare_renewal(&mut self) -> Write {
         self.beat += 1;
         let row = Member {
             incarnation: self.incarnation,
             address: self.address.clone(),
             zone: self.zone.clone(),
             beat: self.beat,
-            left: self.leaving && self.tenures.is_empty(),
+            left: self.leaving && self.owned_shards.is_empty(),
         };
         let expected = self.members.get(&self.me).map_or(0, |member| member.version);
         write(format!("{MEMBER_PREFIX}{}", self.me), expected, &row)
     }
 
     /// Notes that the lease was renewed by a write, or by the successor's word, begun at `began`.
-    pub fn renewed(&mut self, began: Time) {
+    pub fn extend_lease(&mut self, began: Time) {
         self.lease = self.lease.max(began.plus(LEASE));
     }
 
     /// Whether the own lease stands.
-    pub fn is_renewed(&self, now: Time) -> bool {
+    pub fn has_lease(&self, now: Time) -> bool {
         now < self.lease
     }
 
     /// Successors whose word renews the lease while the table is out of reach; all of them must
     /// give it.
     pub fn successors(&self) -> BTreeSet<Arc<str>> {
-        let mine = self.tenures.keys().filter_map(|shard| self.shards.get(shard));
+        let mine = self.owned_shards.keys().filter_map(|shard| self.shards.get(shard));
         mine.map(|shard| shard.row.successor.clone())
             .filter(|name| !name.is_empty() && *name != self.me)
             .collect()
@@ -225,7 +225,7 @@
     }
 
     /// Takes the platform's word on hosts that are gone.
-    pub fn observe_gone(&mut self, hosts: BTreeSet<Arc<str>>) {
+    pub fn set_removed_hosts(&mut self, hosts: BTreeSet<Arc<str>>) {
         self.gone = hosts;
     }
 
@@ -237,23 +237,23 @@
         }
     }
 
-    /// Takes a shard row read from the table, and begins or ends tenures by it.
+    /// Takes a shard row read from the table, and begins or ends ownership by it.
     pub fn observe_shard(&mut self, now: Time, shard: u32, version: u64, row: Shard) {
         let newer = self.shards.get(&shard).is_none_or(|seen| seen.version < version);
         if !newer {
             return;
         }
         let own = row.owner == self.me && row.incarnation == self.incarnation;
-        match self.tenures.get_mut(&shard) {
-            Some(tenure) if own && tenure.epoch == row.epoch => {
-                tenure.share = Share::new(row.share);
-                tenure.offered = None;
+        match self.owned_shards.get_mut(&shard) {
+            Some(owned) if own && owned.epoch == row.epoch => {
+                owned.share = Share::new(row.share);
+                owned.offered = None;
             }
             _ if own => {
-                self.tenures.insert(shard, Tenure::begin(now, &row));
+                self.owned_shards.insert(shard, OwnedShard::begin(now, &row));
             }
             _ => {
-                self.tenures.remove(&shard);
+                self.owned_shards.remove(&shard);
             }
         }
         self.shards.insert(shard, Versioned { row, version, since: now });
@@ -265,19 +265,19 @@
     }
 
     /// The entry a write offers a shard to, if it does.
-    pub fn offered_to(write: &Write) -> Option<Arc<str>> {
+    pub fn offer_recipient(write: &Write) -> Option<Arc<str>> {
         let row: Shard = serde_json::from_value(write.value.clone()).ok()?;
         (row.incarnation == 0).then_some(row.owner)
     }
 
     /// Whether nothing is left to hand over.
     pub fn is_empty(&self) -> bool {
-        self.tenures.is_empty()
+        self.owned_shards.is_empty()
     }
 
     /// Shards this process lends for.
-    pub fn tenures(&self) -> usize {
-        self.tenures.len()
+    pub fn owned_shard_count(&self) -> usize {
+        self.owned_shards.len()
     }
 
     /// Address of a member's peer service.
@@ -286,7 +286,7 @@
     }
 
     /// Names of the members whose lease is not seen to have lapsed, this one included.
-    pub fn live(&self, now: Time) -> BTreeSet<Arc<str>> {
+    pub fn live_members(&self, now: Time) -> BTreeSet<Arc<str>> {
         let live =
             self.members.iter().filter(|(_, member)| self.is_live(now, member)).map(|(name, _)| name.clone());
         live.collect()
@@ -314,27 +314,27 @@
         customer: &Arc<str>,
         borrower: &Arc<str>,
         loan: LoanRequest,
-    ) -> Result<Grant, Elsewhere> {
+    ) -> Result<Grant, NotHome> {
         let shard = shard(customer);
-        let renewed = self.is_renewed(now);
+        let renewed = self.has_lease(now);
         let known = self.shards.get(&shard);
-        let elsewhere = || Elsewhere {
+        let not_home = || NotHome {
             owner: known.map_or_else(|| "".into(), |shard| shard.row.owner.clone()),
             epoch: known.map_or(0, |shard| shard.row.epoch),
         };
-        let Some(tenure) = self.tenures.get_mut(&shard) else { return Err(elsewhere()) };
-        let Some(terms) = settings.customers.get(customer) else { return Err(elsewhere()) };
-        if tenure.offered.is_some() {
-            return Err(elsewhere());
+        let Some(owned) = self.owned_shards.get_mut(&shard) else { return Err(not_home()) };
+        let Some(terms) = settings.customers.get(customer) else { return Err(not_home()) };
+        if owned.offered.is_some() {
+            return Err(not_home());
         }
-        if now < tenure.opens {
-            return Ok(Grant { tokens: 0, term: LOAN_TERM, retry_after: tenure.opens.since(now) });
+        if now < owned.opens {
+            return Ok(Grant { tokens: 0, term: LOAN_TERM, retry_after: owned.opens.since(now) });
         }
         // Guards against a second home: this process may be cut off from both the table and the
         // successor, which then lends the other half.
-        let share = if renewed { tenure.share } else { tenure.share.half() };
-        let (start, opens) = (&tenure.start, tenure.opens);
-        let lender = tenure
+        let share = if renewed { owned.share } else { owned.share.half() };
+        let (start, opens) = (&owned.start, owned.opens);
+        let lender = owned
             .lenders
             .entry(customer.clone())
             .or_insert_with(|| start.lender(customer, terms, opens, now));
@@ -343,15 +343,15 @@
     }
 
     /// The writes that bring ownership closer to what it should be. Needs a standing lease.
-    pub fn writes(&mut self, now: Time, settings: &Snapshot) -> Vec<Write> {
-        if !self.is_renewed(now) {
+    pub fn plan_writes(&mut self, now: Time, settings: &Snapshot) -> Vec<Write> {
+        if !self.has_lease(now) {
             return Vec::new();
         }
-        let live = self.live(now);
-        (0..SHARDS).filter_map(|shard| self.write_for(now, settings, shard, &live)).collect()
+        let live = self.live_members(now);
+        (0..SHARDS).filter_map(|shard| self.plan_write(now, settings, shard, &live)).collect()
     }
 
-    fn write_for(
+    fn plan_write(
         &mut self,
         now: Time,
         settings: &Snapshot,
@@ -363,13 +363,13 @@
         let wanted = ranked.first().cloned();
         let Some(known) = self.shards.get(&shard).cloned() else {
             let first = wanted.as_ref() == Some(&self.me);
-            return first.then(|| self.claim(shard, 0, None, Start::Full, &ranked));
+            return first.then(|| self.claim(shard, 0, None, InitialBuckets::Full, &ranked));
         };
         let row = &known.row;
         if row.incarnation == 0 {
             return self.accept(shard, &known, live, wanted.as_ref(), &ranked);
         }
-        if self.tenures.contains_key(&shard) {
+        if self.owned_shards.contains_key(&shard) {
             return self.tend(now, settings, shard, &known, wanted.as_ref(), &ranked);
         }
         self.succeed(now, shard, &known, live, &ranked)
@@ -416,25 +416,25 @@
             .map(|(name, incarnation)| (name.clone(), *incarnation))
             .collect();
         let successor = self.successor(ranked);
-        let tenure = self.tenures.get_mut(&shard)?;
-        if tenure.offered.is_some_and(|since| now.since(since) < OFFER_TIMEOUT) {
+        let owned = self.owned_shards.get_mut(&shard)?;
+        if owned.offered.is_some_and(|since| now.since(since) < OFFER_TIMEOUT) {
             return None;
         }
-        if let Some(taker) = taker.filter(|_| tenure.offered.is_none()) {
-            tenure.offered = Some(now);
-            let start = Start::Handed(tenure.hand_over(now, settings, shard));
+        if let Some(taker) = taker.filter(|_| owned.offered.is_none()) {
+            owned.offered = Some(now);
+            let start = InitialBuckets::Handed(owned.hand_over(now, settings, shard));
             let owner = taker.clone();
             let row = Shard { owner, incarnation: 0, epoch: known.row.epoch + 1, start, ..known.row.clone() };
             return Some(write(shard_key(shard), known.version, &row));
         }
         let whole = parted.is_empty() && known.row.share < 1.0;
-        let reassert = tenure.offered.is_some();
+        let reassert = owned.offered.is_some();
         let renamed = successor != known.row.successor;
         if !(whole || reassert || renamed) {
             return None;
         }
         let share = if parted.is_empty() { 1.0 } else { known.row.share };
-        let row = Shard { successor, share, parted, start: Start::Empty, ..known.row.clone() };
+        let row = Shard { successor, share, parted, start: InitialBuckets::Empty, ..known.row.clone() };
         Some(write(shard_key(shard), known.version, &row))
     }
 
@@ -471,7 +471,7 @@
         }
         let share = if parted.is_empty() { 1.0 } else { row.share / 2.0 };
         let next = Shard { share, parted, ..row.clone() };
-        Some(self.claim(shard, known.version, Some(&next), Start::Empty, ranked))
+        Some(self.claim(shard, known.version, Some(&next), InitialBuckets::Empty, ranked))
     }
 
     /// Whether the process `incarnation` of `name` is known to run no more: it was replaced, has
@@ -489,7 +489,7 @@
         shard: u32,
         expected: u64,
         last: Option<&Shard>,
-        start: Start,
+        start: InitialBuckets,
         ranked: &[Arc<str>],
     ) -> Write {
         let row = Shard {
@@ -514,11 +514,11 @@
     }
 }
 
-impl Tenure {
+impl OwnedShard {
     fn begin(now: Time, row: &Shard) -> Self {
         let opens = match row.start {
-            Start::Empty => now.plus(LOAN_TERM + LEASE_MARGIN),
-            Start::Full | Start::Handed(_) => now,
+            InitialBuckets::Empty => now.plus(LOAN_TERM + LEASE_MARGIN),
+            InitialBuckets::Full | InitialBuckets::Handed(_) => now,
         };
         Self {
             epoch: row.epoch,
@@ -530,20 +530,25 @@
         }
     }
 
-    fn hand_over(&mut self, now: Time, settings: &Snapshot, shard_number: u32) -> BTreeMap<Arc<str>, Handed> {
+    fn hand_over(
+        &mut self,
+        now: Time,
+        settings: &Snapshot,
+        shard_number: u32,
+    ) -> BTreeMap<Arc<str>, BucketState> {
         let (start, opens) = (&self.start, self.opens);
         let mine = settings.customers.iter().filter(|(name, _)| shard(name) == shard_number);
         mine.map(|(name, terms)| {
             let fresh = || start.lender(name, terms, opens, now);
             let lender = self.lenders.entry(name.clone()).or_insert_with(fresh);
-            let handed = Handed { level: lender.level(now), lent: lender.outstanding() };
+            let handed = BucketState { level: lender.level(now), lent: lender.outstanding() };
             (name.clone(), handed)
         })
         .collect()
     }
 }
 
-impl Start {
+impl InitialBuckets {
     fn lender(&self, name: &Arc<str>, terms: &crate::settings::Customer, opens: Time, now: Time) -> Lender {
         match self {
             Self::Full => Lender::full(terms, now),
--- a/crates/core/tests/home.rs
+++ b/crates/core/tests/home.rs
@@ -80,11 +80,11 @@
             let home = self.entries.get_mut(name).expect("known");
             self.table.read(self.now, home);
             let began = self.now;
-            if self.table.commit(home.renewal()) {
-                home.renewed(began);
+            if self.table.commit(home.prepare_renewal()) {
+                home.extend_lease(began);
             }
             self.table.read(self.now, home);
-            for write in home.writes(self.now, &self.settings) {
+            for write in home.plan_writes(self.now, &self.settings) {
                 self.table.commit(write);
             }
             self.table.read(self.now, home);
@@ -130,9 +130,9 @@
 #[test]
 fn every_shard_gets_exactly_one_home() {
     let world = World::new(&["a", "b", "c"]);
-    let tenures: usize = world.entries.values().map(Home::tenures).sum();
-    assert_eq!(tenures, SHARDS as usize);
-    assert!(world.entries.values().all(|home| home.tenures() > 0), "all of them take part");
+    let owned_shards: usize = world.entries.values().map(Home::owned_shard_count).sum();
+    assert_eq!(owned_shards, SHARDS as usize);
+    assert!(world.entries.values().all(|home| home.owned_shard_count() > 0), "all of them take part");
 }
 
 #[test]
@@ -219,7 +219,7 @@
         let now = world.now;
         let granted = world.entries.get_mut(&*successor).expect("known").grant_renewal(now, &owner, 1);
         assert!(granted);
-        world.entries.get_mut(&*owner).expect("known").renewed(now);
+        world.entries.get_mut(&*owner).expect("known").extend_lease(now);
     }
     assert_eq!(world.drain(&owner), BURST);
 }
--- a/crates/daemon/src/entry/homes.rs
+++ b/crates/daemon/src/entry/homes.rs
@@ -40,7 +40,7 @@
         if write(&context).await {
             read = observe(&context, read).await.unwrap_or(read);
         }
-        // A handover keeps customers without a home only until its taker has looked.
+        // A handover keeps customers without a home only until its recipient has looked.
         let looked = async {
             let _ = looks.recv().await;
         };
@@ -97,11 +97,11 @@
     for some in writes.chunks(AT_ONCE) {
         let tasks: Vec<_> =
             some.iter().cloned().map(|write| task::spawn(one(context.clone(), write))).collect();
-        let mut takers = BTreeSet::new();
+        let mut recipients = BTreeSet::new();
         for task in tasks {
-            takers.extend(task.await);
+            recipients.extend(task.await);
         }
-        for address in context.control.addresses(takers).await.into_values() {
+        for address in context.control.addresses(recipients).await.into_values() {
             let context = context.clone();
             task::spawn(async move { context.peers.ask(&address, &context.name, Ask::Look).await });
         }
@@ -111,10 +111,10 @@
 
 /// Carries one write out; the entry that a shard was offered to by it, if one was.
 async fn one(context: Arc<Context>, write: home::Write) -> Option<Arc<str>> {
-    let taker = Home::offered_to(&write);
+    let recipient = Home::offer_recipient(&write);
     // The outcome shows when the rows are read again, also when the answer is lost.
     match commit(&*context.table, write).await {
-        Ok(_) => taker,
+        Ok(_) => recipient,
         Err(error) => {
             spdlog::debug!("home not written: {error}");
             None
--- a/crates/daemon/src/entry/owner.rs
+++ b/crates/daemon/src/entry/owner.rs
@@ -180,19 +180,19 @@
             }
             Command::Lent(customer, serial, grant) => self.lent(now, &customer, serial, grant),
             Command::Renewal(reply) => {
-                let _ = reply.try_send(self.home.renewal());
+                let _ = reply.try_send(self.home.prepare_renewal());
             }
-            Command::Renewed(began) => self.home.renewed(began),
+            Command::Renewed(began) => self.home.extend_lease(began),
             Command::Rows(rows, reply) => {
                 rows.iter().for_each(|row| self.observe(now, row));
-                let live = self.home.live(now);
+                let live = self.home.live_members(now);
                 self.members = live.len().max(1);
                 let _ = reply.try_send(live);
             }
-            Command::Gone(hosts) => self.home.observe_gone(hosts),
+            Command::Gone(hosts) => self.home.set_removed_hosts(hosts),
             Command::Writes(reply) => {
                 let settings = self.current.get();
-                let _ = reply.try_send(self.home.writes(now, &settings));
+                let _ = reply.try_send(self.home.plan_writes(now, &settings));
             }
             Command::Addresses(names, reply) => {
                 let known =
@@ -379,7 +379,7 @@
                 let settings = self.current.get();
                 match self.home.lend(now, &settings, &customer, from, loan) {
                     Ok(grant) => Answer::Lent(grant),
-                    Err(elsewhere) => Answer::NotHome { owner: elsewhere.owner, epoch: elsewhere.epoch },
+                    Err(not_home) => Answer::NotHome { owner: not_home.owner, epoch: not_home.epoch },
                 }
             }
             Ask::Beat(beat) => {
@@ -423,9 +423,9 @@
             "role": "entry",
             "name": self.me,
             "incarnation": format!("{:x}", self.control.incarnation()),
-            "lease_renewed": self.home.is_renewed(now),
-            "members": self.home.live(now),
-            "homes": self.home.tenures(),
+            "lease_renewed": self.home.has_lease(now),
+            "members": self.home.live_members(now),
+            "homes": self.home.owned_shard_count(),
             "tokens_in_hand": limiters,
             "waiting_for_tokens": self.waiting.len(),
             "endpoints_seen": endpoints,
