--- a/crates/core/src/once.rs
+++ b/crates/core/src/idempotency.rs
@@ -48,13 +48,13 @@
 }
 
 /// The row of a call: keys belong to their customer.
-pub fn row(customer: &str, idempotency_key: &str) -> String {
+pub fn row_key(customer: &str, idempotency_key: &str) -> String {
     format!("{PREFIX}{customer}/{}", crate::settings::digest(idempotency_key))
 }
 
 /// What to do about a call, given the record found under its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Action {
     /// The record is ours: dispatch, once.
     Dispatch,
     /// Give the recorded answer.
@@ -71,26 +71,29 @@
 }
 
 /// Decides what follows from the record `found` for a call of `digest` by `token`.
-pub fn step(found: &Record, digest: &str, token: Request) -> Step {
+pub fn decide(found: &Record, digest: &str, token: Request) -> Action {
     if &*found.digest != digest {
-        return Step::Refuse(Refusal::not_run(Code::KeyReused, "idempotency key was used with another call"));
+        return Action::Refuse(Refusal::not_run(
+            Code::KeyReused,
+            "idempotency key was used with another call",
+        ));
     }
     match &found.state {
-        State::Started if found.token == token => Step::Dispatch,
+        State::Started if found.token == token => Action::Dispatch,
         // Another request wrote the record. It may have dispatched, be about to, or have died in
         // between: nothing proves that the call did not run, so this one never sends it again.
-        State::Started => Step::Refuse(Refusal::run(
+        State::Started => Action::Refuse(Refusal::run(
             Code::InProgress,
             "a call under this idempotency key has started and its outcome is not recorded",
         )),
-        State::Answered { status, body } => Step::Replay { status: *status, body: body.clone() },
-        State::Abandoned => Step::Reclaim,
-        State::Unknown => Step::Refuse(unknown()),
+        State::Answered { status, body } => Action::Replay { status: *status, body: body.clone() },
+        State::Abandoned => Action::Reclaim,
+        State::Unknown => Action::Refuse(refuse_unknown_outcome()),
     }
 }
 
 /// The refusal for a call whose outcome cannot be known.
-pub fn unknown() -> Refusal {
+pub fn refuse_unknown_outcome() -> Refusal {
     Refusal::run(
         Code::OutcomeUnknown,
         "the call was sent once and its outcome is not known; it will not be sent again",
@@ -99,20 +102,20 @@
 
 /// What to do after a write of `Started` whose answer was lost, from what a read back found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
+pub enum WriteOutcome {
     /// Our write took effect.
-    Landed,
-    /// Another's record stands there; decide by [`step`].
-    Other,
+    Applied,
+    /// Another's record stands there; decide by [`decide`].
+    Conflict,
     /// Nothing stands there, but our write may still land: put a tombstone there first.
-    Tombstone,
+    Missing,
 }
 
 /// Settles a lost answer.
-pub fn settle(found: Option<&Record>, token: Request) -> Lost {
+pub fn resolve_write(found: Option<&Record>, token: Request) -> WriteOutcome {
     match found {
-        Some(record) if record.token == token => Lost::Landed,
-        Some(_) => Lost::Other,
-        None => Lost::Tombstone,
+        Some(record) if record.token == token => WriteOutcome::Applied,
+        Some(_) => WriteOutcome::Conflict,
+        None => WriteOutcome::Missing,
     }
 }
--- a/crates/core/tests/once.rs
+++ b/crates/core/tests/idempotency.rs
@@ -2,7 +2,7 @@
 
 use tarragonhill_core::{
     Code, Request,
-    once::{self, Lost, Record, State, Step},
+    idempotency::{self, Action, Record, State, WriteOutcome},
 };
 
 fn record(token: u128, state: State) -> Record {
@@ -22,16 +22,21 @@
 #[test]
 fn own_started_record_is_dispatched_and_foreign_one_is_not() {
     let started = record(1, State::Started);
-    assert_eq!(once::step(&started, "d", Request(1)), Step::Dispatch);
-    let Step::Refuse(refusal) = once::step(&started, "d", Request(2)) else { panic!("dispatched twice") };
+    assert_eq!(idempotency::decide(&started, "d", Request(1)), Action::Dispatch);
+    let Action::Refuse(refusal) = idempotency::decide(&started, "d", Request(2)) else {
+        panic!("dispatched twice")
+    };
     assert_eq!((refusal.code, refusal.not_run), (Code::InProgress, false));
 }
 
 #[test]
 fn answered_record_is_replayed_and_unknown_one_is_never_sent_again() {
     let answered = record(1, State::Answered { status: 201, body: "ok".into() });
-    assert_eq!(once::step(&answered, "d", Request(2)), Step::Replay { status: 201, body: "ok".into() });
-    let Step::Refuse(refusal) = once::step(&record(1, State::Unknown), "d", Request(1)) else {
+    assert_eq!(
+        idempotency::decide(&answered, "d", Request(2)),
+        Action::Replay { status: 201, body: "ok".into() }
+    );
+    let Action::Refuse(refusal) = idempotency::decide(&record(1, State::Unknown), "d", Request(1)) else {
         panic!("sent again")
     };
     assert_eq!((refusal.code, refusal.not_run), (Code::OutcomeUnknown, false));
@@ -39,7 +44,7 @@
 
 #[test]
 fn same_key_with_another_body_is_refused_as_not_run() {
-    let Step::Refuse(refusal) = once::step(&record(1, State::Started), "other", Request(1)) else {
+    let Action::Refuse(refusal) = idempotency::decide(&record(1, State::Started), "other", Request(1)) else {
         panic!("accepted")
     };
     assert_eq!((refusal.code, refusal.not_run), (Code::KeyReused, true));
@@ -49,7 +54,13 @@
 /// record, or nothing; the last may still land and needs a tombstone before "not run" is true.
 #[test]
 fn lost_write_is_settled_by_comparing_tokens() {
-    assert_eq!(once::settle(Some(&record(1, State::Started)), Request(1)), Lost::Landed);
-    assert_eq!(once::settle(Some(&record(2, State::Started)), Request(1)), Lost::Other);
-    assert_eq!(once::settle(None, Request(1)), Lost::Tombstone);
+    assert_eq!(
+        idempotency::resolve_write(Some(&record(1, State::Started)), Request(1)),
+        WriteOutcome::Applied
+    );
+    assert_eq!(
+        idempotency::resolve_write(Some(&record(2, State::Started)), Request(1)),
+        WriteOutcome::Conflict
+    );
+    assert_eq!(idempotency::resolve_write(None, Request(1)), WriteOutcome::Missing);
 }
--- a/crates/daemon/src/entry/once.rs
+++ b/crates/daemon/src/entry/once.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use tarragonhill_core::{
     Code, Refusal, Request,
-    once::{self, Lost, Record, State, Step},
+    idempotency::{self, Action, Record, State, WriteOutcome},
     settings::digest,
 };
 use tarragonhill_http::server::Outbound;
@@ -32,7 +32,7 @@
     stages::check_service(context, &call.service)?;
     let record = Entry {
         context,
-        key: once::row(&ticket.key.customer, idempotency_key),
+        key: idempotency::row_key(&ticket.key.customer, idempotency_key),
         digest: call_digest(&call),
         token: ticket.request,
     };
@@ -96,13 +96,13 @@
             let found = self.read().await?;
             let expected = match found {
                 None => 0,
-                Some((version, record)) => match once::step(&record, &self.digest, self.token) {
-                    Step::Dispatch => return Ok(Begun::Ours(version)),
-                    Step::Replay { status, body } => {
+                Some((version, record)) => match idempotency::decide(&record, &self.digest, self.token) {
+                    Action::Dispatch => return Ok(Begun::Ours(version)),
+                    Action::Replay { status, body } => {
                         return Ok(Begun::Replay(stages::Reply { status, body: body.into_bytes() }));
                     }
-                    Step::Refuse(refusal) => return Err(refusal),
-                    Step::Reclaim => version,
+                    Action::Refuse(refusal) => return Err(refusal),
+                    Action::Reclaim => version,
                 },
             };
             if let Some(version) = self.insert(expected).await? {
@@ -131,10 +131,10 @@
                 continue;
             };
             let standing = found.as_ref().filter(|(version, _)| *version != expected);
-            match once::settle(standing.map(|(_, record)| record), self.token) {
-                Lost::Landed => return Ok(standing.map(|(version, _)| *version)),
-                Lost::Other => return Ok(None),
-                Lost::Tombstone => {
+            match idempotency::resolve_write(standing.map(|(_, record)| record), self.token) {
+                WriteOutcome::Applied => return Ok(standing.map(|(version, _)| *version)),
+                WriteOutcome::Conflict => return Ok(None),
+                WriteOutcome::Missing => {
                     if self.write(State::Abandoned, expected).await.is_ok() {
                         return Err(unavailable("the record could not be written"));
                     }
@@ -191,7 +191,7 @@
             }
             stages::Failure::Refused(_) | stages::Failure::Broken { .. } => {
                 self.finish(version, State::Unknown).await;
-                once::unknown()
+                idempotency::refuse_unknown_outcome()
             }
         }
     }
