--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -17,10 +17,10 @@
 
 /// Knowing that others have a newer version, a process serves by its own no longer than this: the
 /// table is asked at once, and an answer takes milliseconds.
-const BEHIND: Duration = Duration::from_secs(2);
+const MAX_BEHIND: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct PeerVersion {
     at: Time,
     version: u64,
 }
@@ -31,14 +31,14 @@
     version: u64,
     /// When the table is known to have had `version` as its newest.
     confirmed: Option<Time>,
-    peers: BTreeMap<Arc<str>, Heard>,
+    peers: BTreeMap<Arc<str>, PeerVersion>,
     /// Since when a newer version is known to be in force elsewhere.
     behind: Option<Time>,
 }
 
 impl Freshness {
     /// Notes a read of the table begun at `began` that found `version`.
-    pub fn confirmed(&mut self, began: Time, version: u64) {
+    pub fn record_read(&mut self, began: Time, version: u64) {
         self.adopt(version);
         if version == self.version {
             self.confirmed = self.confirmed.max(Some(began));
@@ -50,14 +50,14 @@
         if version > self.version {
             self.version = version;
             self.confirmed = None;
-            self.behind = self.behind.filter(|_| self.newest_heard() > version);
+            self.behind = self.behind.filter(|_| self.newest_peer_version() > version);
         }
     }
 
     /// Takes a heartbeat. A peer's confirmation counts for us if its version is ours: the table
     /// had no newer one then.
-    pub fn heard(&mut self, now: Time, peer: &Arc<str>, beat: &Beat) {
-        self.peers.insert(peer.clone(), Heard { at: now, version: beat.version });
+    pub fn record_heartbeat(&mut self, now: Time, peer: &Arc<str>, beat: &Beat) {
+        self.peers.insert(peer.clone(), PeerVersion { at: now, version: beat.version });
         if beat.version > self.version {
             self.behind = self.behind.or(Some(now));
         }
@@ -73,29 +73,29 @@
     }
 
     /// The newest version that any peer has in force.
-    pub fn newest_heard(&self) -> u64 {
-        self.peers.values().map(|heard| heard.version).max().unwrap_or(0)
+    pub fn newest_peer_version(&self) -> u64 {
+        self.peers.values().map(|peer| peer.version).max().unwrap_or(0)
     }
 
     /// Whether an entry may serve by its settings, given the other entries known.
     pub fn may_serve(&self, now: Time, entries: &BTreeSet<Arc<str>>) -> bool {
-        let behind = self.behind.is_some_and(|since| now.since(since) > BEHIND);
+        let behind = self.behind.is_some_and(|since| now.since(since) > MAX_BEHIND);
         if self.version == 0 || behind {
             return false;
         }
         if self.age(now) <= MAX_AGE {
             return true;
         }
-        entries.iter().all(|entry| self.peers.get(entry).is_some_and(|heard| now.since(heard.at) <= MAX_AGE))
+        entries.iter().all(|entry| self.peers.get(entry).is_some_and(|peer| now.since(peer.at) <= MAX_AGE))
     }
 
     /// Peers not known to have `version` in force.
-    pub fn without(&self, version: u64) -> Vec<Arc<str>> {
-        self.peers.iter().filter(|(_, heard)| heard.version < version).map(|(name, _)| name.clone()).collect()
+    pub fn peers_behind(&self, version: u64) -> Vec<Arc<str>> {
+        self.peers.iter().filter(|(_, peer)| peer.version < version).map(|(name, _)| name.clone()).collect()
     }
 
     /// Forgets a peer that is no longer there.
-    pub fn forget(&mut self, peer: &str) {
+    pub fn remove_peer(&mut self, peer: &str) {
         self.peers.remove(peer);
     }
 }
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -30,7 +30,7 @@
 #[test]
 fn entry_cut_off_from_all_stops_serving() {
     let mut freshness = Freshness::default();
-    freshness.confirmed(at(0), 3);
+    freshness.record_read(at(0), 3);
     assert!(freshness.may_serve(at(8), &entries()));
     assert!(!freshness.may_serve(at(9), &entries()));
 }
@@ -40,10 +40,10 @@
 #[test]
 fn entries_that_hear_all_others_serve_through_an_outage() {
     let mut freshness = Freshness::default();
-    freshness.confirmed(at(0), 3);
+    freshness.record_read(at(0), 3);
     for second in 1..600 {
-        freshness.heard(at(second), &"b".into(), &beat(3, second));
-        freshness.heard(at(second), &"c".into(), &beat(3, second));
+        freshness.record_heartbeat(at(second), &"b".into(), &beat(3, second));
+        freshness.record_heartbeat(at(second), &"c".into(), &beat(3, second));
     }
     assert!(freshness.may_serve(at(600), &entries()));
 }
@@ -52,8 +52,8 @@
 #[test]
 fn one_silent_entry_in_an_outage_stops_serving() {
     let mut freshness = Freshness::default();
-    freshness.confirmed(at(0), 3);
-    (1..60).for_each(|second| freshness.heard(at(second), &"b".into(), &beat(3, second)));
+    freshness.record_read(at(0), 3);
+    (1..60).for_each(|second| freshness.record_heartbeat(at(second), &"b".into(), &beat(3, second)));
     assert!(!freshness.may_serve(at(60), &entries()));
 }
 
@@ -61,8 +61,8 @@
 #[test]
 fn word_of_a_peer_with_the_same_version_counts() {
     let mut freshness = Freshness::default();
-    freshness.confirmed(at(0), 3);
-    freshness.heard(at(20), &"agent 1".into(), &beat(3, 1));
+    freshness.record_read(at(0), 3);
+    freshness.record_heartbeat(at(20), &"agent 1".into(), &beat(3, 1));
     assert_eq!(freshness.age(at(20)), Duration::from_secs(1));
     assert!(freshness.may_serve(at(20), &entries()));
 }
@@ -72,21 +72,21 @@
 #[test]
 fn paused_process_notices_on_waking() {
     let mut freshness = Freshness::default();
-    freshness.confirmed(at(0), 3);
+    freshness.record_read(at(0), 3);
     let woken = at(0).plus(MAX_AGE).plus(Duration::from_secs(60));
     assert!(!freshness.may_serve(woken, &entries()));
-    freshness.confirmed(woken, 3);
+    freshness.record_read(woken, 3);
     assert!(freshness.may_serve(woken, &entries()));
 }
 
 #[test]
 fn known_newer_version_must_be_in_force_within_seconds() {
     let mut freshness = Freshness::default();
-    freshness.confirmed(at(0), 3);
-    freshness.heard(at(1), &"b".into(), &beat(4, 0));
+    freshness.record_read(at(0), 3);
+    freshness.record_heartbeat(at(1), &"b".into(), &beat(4, 0));
     assert!(freshness.may_serve(at(2), &entries()));
     assert!(!freshness.may_serve(at(4), &entries()));
-    freshness.confirmed(at(4), 4);
+    freshness.record_read(at(4), 4);
     assert!(freshness.may_serve(at(4), &entries()));
 }
 
@@ -94,7 +94,7 @@
 #[test]
 fn overtaken_read_confirms_nothing() {
     let mut freshness = Freshness::default();
-    freshness.confirmed(at(0), 4);
-    freshness.confirmed(at(50), 3);
+    freshness.record_read(at(0), 4);
+    freshness.record_read(at(50), 3);
     assert_eq!(freshness.age(at(50)), Duration::from_secs(50));
 }
--- a/crates/daemon/src/agent/server.rs
+++ b/crates/daemon/src/agent/server.rs
@@ -81,7 +81,7 @@
             let reads = read(&control, &current, link, orders, &pace);
             reads.or(beats).await;
             control.input(Input::LinkLost(link));
-            current.freshness(|freshness| freshness.forget(&link_name(link)));
+            current.freshness(|freshness| freshness.remove_peer(&link_name(link)));
             sender.close();
         });
         Ok(Response::new(Box::pin(receiver.map(|event: Event| Ok(event.into())))))
--- a/crates/daemon/src/entry/operators.rs
+++ b/crates/daemon/src/entry/operators.rs
@@ -184,7 +184,8 @@
 
 fn outcome(context: &Context, mut record: Value) -> Value {
     if let Some(version) = record["version"].as_u64() {
-        record["not_in_force_at"] = json!(context.current.freshness(|freshness| freshness.without(version)));
+        record["not_in_force_at"] =
+            json!(context.current.freshness(|freshness| freshness.peers_behind(version)));
     }
     record
 }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -59,7 +59,7 @@
     /// Takes a peer's heartbeat, and asks the table if the peer has newer settings.
     pub(crate) fn heard(&self, peer: &Arc<str>, beat: &Beat) {
         let now = self.clock.now();
-        self.freshness(|freshness| freshness.heard(now, peer, beat));
+        self.freshness(|freshness| freshness.record_heartbeat(now, peer, beat));
         if beat.version > self.get().version {
             self.nudge();
         }
@@ -126,7 +126,7 @@
             inner.snapshot = next.clone();
         }
         let version = inner.snapshot.version;
-        inner.freshness.confirmed(began, version);
+        inner.freshness.record_read(began, version);
     }
 }
 
