--- a/crates/bench/src/check/run.rs
+++ b/crates/bench/src/check/run.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use tarragonhill_core::{
     plan::Intent,
-    settings::{Role, Running},
+    settings::{Role, WithdrawalPolicy},
 };
 use tarragonhill_operator::Client;
 
@@ -239,7 +239,7 @@
 
 async fn withdraw(fleet: &Fleet, recorder: &Recorder) {
     let tenant = TENANTS[TENANTS.len() - 1];
-    let intent = Intent::WithdrawKey { id: format!("{tenant}-1").into(), running: Running::Cut };
+    let intent = Intent::WithdrawKey { id: format!("{tenant}-1").into(), running: WithdrawalPolicy::Cut };
     change(fleet, recorder, intent, Change::Withdrawn(tenant.into())).await;
 }
 
--- a/crates/bench/src/cmd/demo.rs
+++ b/crates/bench/src/cmd/demo.rs
@@ -7,7 +7,7 @@
 
 use async_std::task;
 use serde_json::json;
-use tarragonhill_core::{plan::Intent, settings::Running};
+use tarragonhill_core::{plan::Intent, settings::WithdrawalPolicy};
 use tarragonhill_operator::Client;
 
 use crate::{
@@ -211,7 +211,7 @@
 async fn withdrawn(fleet: &Fleet, tally: &mut Tally) {
     println!("an operator withdraws a key, by plan and confirm:");
     let client = Client::new(fleet.entry(0).admin(), None);
-    let intent = Intent::WithdrawKey { id: "grants-1".into(), running: Running::Cut };
+    let intent = Intent::WithdrawKey { id: "grants-1".into(), running: WithdrawalPolicy::Cut };
     let confirmed = match client.plan(&intent).await {
         Ok(planned) => client.confirm(&planned).await,
         Err(error) => Err(error),
--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -21,7 +21,7 @@
     message::{Load, Order, Work},
     placement::{Need, Policy, Search, View},
     quota::{Limiter, LoanRequest, Waiter},
-    settings::{Customer, Endpoint, Key, Role, Row, Running, Snapshot, digest},
+    settings::{Customer, Endpoint, Key, Role, Row, Snapshot, WithdrawalPolicy, digest},
 };
 
 use crate::{
@@ -149,7 +149,7 @@
             id: name("key", number),
             customer: customer.clone(),
             withdrawn: false,
-            running: Running::Cut,
+            running: WithdrawalPolicy::Cut,
         };
         rows.push(Row::Key(digest(&customer).into(), Some(key)));
     }
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -7,7 +7,7 @@
 use tarragonhill_core::{
     Clock,
     placement::Policy,
-    settings::{Customer, Endpoint, Key, Role, Row, Running, VERSION_ROW, digest},
+    settings::{Customer, Endpoint, Key, Role, Row, VERSION_ROW, WithdrawalPolicy, digest},
 };
 use tarragonhill_daemon::{
     StartError,
@@ -274,7 +274,7 @@
                 id: format!("{name}-1").into(),
                 customer: name.as_str().into(),
                 withdrawn: false,
-                running: Running::Cut,
+                running: WithdrawalPolicy::Cut,
             };
             rows.push(row(&Row::Customer(name.as_str().into(), Some(customer))));
             rows.push(row(&Row::Key(digest(&key_of(name)).into(), Some(key))));
--- a/crates/bench/tests/path.rs
+++ b/crates/bench/tests/path.rs
@@ -13,7 +13,7 @@
 };
 use tarragonhill_core::{
     plan::Intent,
-    settings::{Role, Running},
+    settings::{Role, WithdrawalPolicy},
 };
 use tarragonhill_operator::{Client, OperatorError};
 
@@ -393,7 +393,7 @@
 fn withdrawn_key_stops_everywhere_though_the_answer_is_lost() {
     run(|fleet| async move {
         let client = Client::new(fleet.entry(0).admin(), None);
-        let intent = Intent::WithdrawKey { id: "grants-1".into(), running: Running::Cut };
+        let intent = Intent::WithdrawKey { id: "grants-1".into(), running: WithdrawalPolicy::Cut };
         let planned = client.plan(&intent).await.expect("a plan");
         fleet.table.switches.set_lose(1_000);
         let _ = client.confirm(&planned).await;
@@ -423,7 +423,7 @@
         let running = || async { fleet.prefill.iter().any(|engine| !engine.starts.all().is_empty()) };
         assert!(eventually(running).await);
         let client = Client::new(fleet.entry(0).admin(), None);
-        let intent = Intent::WithdrawKey { id: "grants-1".into(), running: Running::Cut };
+        let intent = Intent::WithdrawKey { id: "grants-1".into(), running: WithdrawalPolicy::Cut };
         let planned = client.plan(&intent).await.expect("a plan");
         client.confirm(&planned).await.expect("confirmed");
         assert_eq!(refusal(&answer.await.outcome), ("bad_key", false));
--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -21,7 +21,7 @@
     id::Attempt,
     message::{Breakage, Event, Load, Order, Work},
     refusal::Code,
-    settings::{Endpoint, Role, Running, Snapshot},
+    settings::{Endpoint, Role, Snapshot, WithdrawalPolicy},
 };
 
 /// Numbers the links of one agent process.
@@ -220,7 +220,7 @@
             .settings
             .keys
             .values()
-            .filter(|key| key.withdrawn && key.running == Running::Cut)
+            .filter(|key| key.withdrawn && key.running == WithdrawalPolicy::Cut)
             .map(|key| key.id.clone())
             .collect();
         if cut.is_empty() {
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -16,7 +16,7 @@
 };
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
-use crate::{clock::Time, id::Attempt, message::Load, settings::Named};
+use crate::{clock::Time, id::Attempt, message::Load, settings::NamedEndpoint};
 
 /// How requests are placed. All but `current` are baselines to measure against.
 #[derive(
@@ -100,7 +100,7 @@
     /// Availability zone of the entry; breaks ties.
     pub zone: &'a str,
     /// Endpoints that serve what is asked for, in the order of names.
-    pub candidates: &'a [Named],
+    pub candidates: &'a [NamedEndpoint],
     /// What the work needs.
     pub need: Need,
     /// The attempt that is sent.
@@ -155,8 +155,8 @@
     /// Endpoints tried before, and those that have just refused, are passed over as long as there
     /// are others; a fleet in which each has failed once must still serve.
     pub fn place<R: Rng>(&mut self, now: Time, rng: &mut R, search: &Search<'_>) -> Option<Arc<str>> {
-        let fresh = |named: &&Named| self.is_up(named) && self.is_fresh(now, &named.0, search.tried);
-        let up = |named: &&Named| self.is_up(named);
+        let fresh = |named: &&NamedEndpoint| self.is_up(named) && self.is_fresh(now, &named.0, search.tried);
+        let up = |named: &&NamedEndpoint| self.is_up(named);
         let choice = self.choose(now, rng, search, fresh).or_else(|| self.choose(now, rng, search, up))?;
         self.sent(now, &choice, search.need, search.attempt);
         Some(choice)
@@ -167,7 +167,7 @@
         now: Time,
         rng: &mut R,
         search: &Search<'_>,
-        usable: impl Fn(&&Named) -> bool,
+        usable: impl Fn(&&NamedEndpoint) -> bool,
     ) -> Option<Arc<str>> {
         let Search { candidates, need, .. } = *search;
         let choice = match search.policy {
@@ -177,14 +177,14 @@
             }
             Policy::HoldFirst | Policy::Current => {
                 let affine = self.affine(need);
-                let score = |named: &&Named| self.score(now, named, search, affine.as_ref());
+                let score = |named: &&NamedEndpoint| self.score(now, named, search, affine.as_ref());
                 sample(rng, candidates, affine.as_ref(), usable).into_iter().min_by_key(score)
             }
         };
         choice.map(|(name, _)| name.clone())
     }
 
-    fn is_up(&self, (name, endpoint): &Named) -> bool {
+    fn is_up(&self, (name, endpoint): &NamedEndpoint) -> bool {
         let Some(seen) = self.seen.get(name) else { return !endpoint.leaving };
         let leaving = seen.load.as_ref().is_some_and(|(load, _)| load.leaving);
         !endpoint.leaving && !leaving && !seen.down
@@ -207,7 +207,7 @@
     }
 
     /// Lower is better.
-    fn score(&self, now: Time, named: &Named, search: &Search<'_>, affine: Option<&Arc<str>>) -> u64 {
+    fn score(&self, now: Time, named: &NamedEndpoint, search: &Search<'_>, affine: Option<&Arc<str>>) -> u64 {
         let (name, endpoint) = named;
         let need = search.need;
         let seen = self.seen.get(name);
@@ -277,16 +277,16 @@
 /// them are unusable.
 fn sample<'a, R: Rng>(
     rng: &mut R,
-    candidates: &'a [Named],
+    candidates: &'a [NamedEndpoint],
     affine: Option<&Arc<str>>,
-    usable: impl Fn(&&'a Named) -> bool,
-) -> Vec<&'a Named> {
+    usable: impl Fn(&&'a NamedEndpoint) -> bool,
+) -> Vec<&'a NamedEndpoint> {
     let matching = affine.and_then(|affine| {
         let at = candidates.binary_search_by(|(name, _)| name.cmp(affine)).ok()?;
         candidates.get(at).filter(&usable)
     });
     let drawn = index::sample(rng, candidates.len(), DRAWN.min(candidates.len()));
-    let mut few: Vec<&Named> =
+    let mut few: Vec<&NamedEndpoint> =
         drawn.iter().map(|at| &candidates[at]).filter(&usable).take(CANDIDATES).collect();
     if few.is_empty() {
         few = candidates.iter().filter(usable).choose_multiple(rng, CANDIDATES);
--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use sha2::{Digest as _, Sha256};
 
-use crate::settings::{Customer, Endpoint, Key, Role, Row, Running, Snapshot};
+use crate::settings::{Customer, Endpoint, Key, Role, Row, Snapshot, WithdrawalPolicy};
 
 /// Prefix of the rows that record confirmed plans.
 pub const PREFIX: &str = "plan/";
@@ -45,7 +45,7 @@
         /// Public identifier of the key.
         id: Arc<str>,
         /// What becomes of answers already streaming.
-        running: Running,
+        running: WithdrawalPolicy,
     },
     /// Creates or changes an endpoint.
     PutEndpoint {
@@ -95,7 +95,7 @@
 /// What a plan touches, for the operator to judge it by.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Touch {
+pub struct Impact {
     /// Endpoints whose work changes.
     pub endpoints: Vec<Arc<str>>,
     /// Customers whose share or keys change.
@@ -119,41 +119,41 @@
     /// What would change.
     pub changes: Vec<Change>,
     /// What that touches.
-    pub touches: Touch,
+    pub touches: Impact,
 }
 
 /// Why there is no plan, or why it cannot be confirmed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlanError {
     /// Something the intent names does not exist.
-    Unknown(&'static str, Arc<str>),
+    NotFound(&'static str, Arc<str>),
     /// The intent asks for something that makes no sense; says what.
     Invalid(String),
     /// Nothing would change.
     Unchanged,
     /// The settings have moved on since the plan was made.
-    Moved {
+    VersionConflict {
         /// Version the plan rests on.
-        rests_on: u64,
+        planned: u64,
         /// Version now.
         current: u64,
     },
     /// The digest sent with the confirm is not the plan's.
-    Digest,
+    DigestMismatch,
 }
 
 impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unknown(kind, name) => write!(f, "no {kind} named {name:?}"),
+            Self::NotFound(kind, name) => write!(f, "no {kind} named {name:?}"),
             Self::Invalid(why) => f.write_str(why),
             Self::Unchanged => f.write_str("nothing would change"),
-            Self::Moved { rests_on, current } => write!(
+            Self::VersionConflict { planned, current } => write!(
                 f,
-                "the plan rests on settings version {rests_on}, but version {current} is in force; \
+                "the plan rests on settings version {planned}, but version {current} is in force; \
                  nothing was changed, plan again"
             ),
-            Self::Digest => f.write_str("the digest does not match the plan; nothing was changed"),
+            Self::DigestMismatch => f.write_str("the digest does not match the plan; nothing was changed"),
         }
     }
 }
@@ -163,11 +163,11 @@
 impl Plan {
     /// Works an intent out against `settings`; `running` tells how many requests a row's name
     /// touches now.
-    pub fn make(
+    pub fn build(
         id: String,
         settings: &Snapshot,
         intent: Intent,
-        running: impl Fn(&Touch) -> usize,
+        running: impl Fn(&Impact) -> usize,
     ) -> Result<Self, PlanError> {
         let (rows, mut touches) = work_out(settings, &intent)?;
         let changes: Vec<Change> =
@@ -190,14 +190,14 @@
     /// edited plan cannot smuggle a change in.
     pub fn confirm(&self, settings: &Snapshot, digest: &str) -> Result<Vec<Row>, PlanError> {
         if digest != self.digest() {
-            return Err(PlanError::Digest);
+            return Err(PlanError::DigestMismatch);
         }
         if settings.version != self.version {
-            return Err(PlanError::Moved { rests_on: self.version, current: settings.version });
+            return Err(PlanError::VersionConflict { planned: self.version, current: settings.version });
         }
-        let again = Self::make(self.id.clone(), settings, self.intent.clone(), |_| 0)?;
+        let again = Self::build(self.id.clone(), settings, self.intent.clone(), |_| 0)?;
         if again.digest() != digest {
-            return Err(PlanError::Digest);
+            return Err(PlanError::DigestMismatch);
         }
         let (mut rows, _) = work_out(settings, &self.intent)?;
         rows.push(Row::Version(self.version + 1));
@@ -205,7 +205,7 @@
     }
 
     /// Table key of the record that tells that the plan was confirmed.
-    pub fn record(&self) -> String {
+    pub fn record_key(&self) -> String {
         format!("{PREFIX}{}", self.id)
     }
 }
@@ -220,7 +220,7 @@
     Change { row: row.key(), before, after: row.value() }
 }
 
-fn work_out(settings: &Snapshot, intent: &Intent) -> Result<(Vec<Row>, Touch), PlanError> {
+fn work_out(settings: &Snapshot, intent: &Intent) -> Result<(Vec<Row>, Impact), PlanError> {
     match intent {
         Intent::PutCustomer { name, rate, burst, weight } => put_customer(name, *rate, *burst, *weight),
         Intent::RemoveCustomer { name } => remove_customer(settings, name),
@@ -234,7 +234,7 @@
     }
 }
 
-type Work = Result<(Vec<Row>, Touch), PlanError>;
+type Work = Result<(Vec<Row>, Impact), PlanError>;
 
 fn check_name(kind: &str, name: &str) -> Result<(), PlanError> {
     let fits = (1..=64).contains(&name.len());
@@ -252,13 +252,13 @@
     if rate == 0 || burst == 0 || weight == 0 {
         return Err(PlanError::Invalid("rate, burst and weight must be at least 1".into()));
     }
-    let touches = Touch { customers: vec![name.clone()], ..Touch::default() };
+    let touches = Impact { customers: vec![name.clone()], ..Impact::default() };
     Ok((vec![Row::Customer(name.clone(), Some(Customer { rate, burst, weight }))], touches))
 }
 
 fn remove_customer(settings: &Snapshot, name: &Arc<str>) -> Work {
     if !settings.customers.contains_key(name) {
-        return Err(PlanError::Unknown("customer", name.clone()));
+        return Err(PlanError::NotFound("customer", name.clone()));
     }
     let live = settings.keys.values().filter(|key| key.customer == *name && !key.withdrawn).count();
     if live > 0 {
@@ -266,7 +266,7 @@
             "customer {name:?} still has {live} keys; withdraw them first"
         )));
     }
-    let touches = Touch { customers: vec![name.clone()], ..Touch::default() };
+    let touches = Impact { customers: vec![name.clone()], ..Impact::default() };
     Ok((vec![Row::Customer(name.clone(), None)], touches))
 }
 
@@ -277,22 +277,26 @@
         return Err(PlanError::Invalid("digest must be 64 lower-case hex digits".into()));
     }
     if !settings.customers.contains_key(customer) {
-        return Err(PlanError::Unknown("customer", customer.clone()));
+        return Err(PlanError::NotFound("customer", customer.clone()));
     }
     let taken = settings.keys.values().any(|key| key.id == *id) || settings.keys.contains_key(digest);
     if taken {
         return Err(PlanError::Invalid(format!("key {id:?} or its digest exists already")));
     }
-    let key =
-        Key { id: id.clone(), customer: customer.clone(), withdrawn: false, running: Running::default() };
-    let touches = Touch { customers: vec![customer.clone()], ..Touch::default() };
+    let key = Key {
+        id: id.clone(),
+        customer: customer.clone(),
+        withdrawn: false,
+        running: WithdrawalPolicy::default(),
+    };
+    let touches = Impact { customers: vec![customer.clone()], ..Impact::default() };
     Ok((vec![Row::Key(digest.clone(), Some(key))], touches))
 }
 
-fn withdraw_key(settings: &Snapshot, id: &Arc<str>, running: Running) -> Work {
+fn withdraw_key(settings: &Snapshot, id: &Arc<str>, running: WithdrawalPolicy) -> Work {
     let found = settings.keys.iter().find(|(_, key)| key.id == *id);
-    let Some((digest, key)) = found else { return Err(PlanError::Unknown("key", id.clone())) };
-    let mut touches = Touch { customers: vec![key.customer.clone()], ..Touch::default() };
+    let Some((digest, key)) = found else { return Err(PlanError::NotFound("key", id.clone())) };
+    let mut touches = Impact { customers: vec![key.customer.clone()], ..Impact::default() };
     let others = settings.keys.values().filter(|other| other.customer == key.customer && other.id != *id);
     if others.filter(|other| !other.withdrawn).count() == 0 {
         touches.warnings.push(format!("customer {:?} has no other key", key.customer));
@@ -321,25 +325,25 @@
         Some(old) if !ordered => old.generation,
         Some(_) | None => settings.version + 1,
     };
-    let touches = Touch { endpoints: vec![name.clone()], ..Touch::default() };
+    let touches = Impact { endpoints: vec![name.clone()], ..Impact::default() };
     Ok((vec![Row::Endpoint(name.clone(), Some(Endpoint { generation, ..endpoint.clone() }))], touches))
 }
 
 fn remove_endpoint(settings: &Snapshot, name: &Arc<str>) -> Work {
     let Some(endpoint) = settings.endpoints.get(name) else {
-        return Err(PlanError::Unknown("endpoint", name.clone()));
+        return Err(PlanError::NotFound("endpoint", name.clone()));
     };
     if !endpoint.leaving {
         return Err(PlanError::Invalid(format!("endpoint {name:?} still takes work; drain its host first")));
     }
-    let touches = Touch { endpoints: vec![name.clone()], ..Touch::default() };
+    let touches = Impact { endpoints: vec![name.clone()], ..Impact::default() };
     Ok((vec![Row::Endpoint(name.clone(), None)], touches))
 }
 
 fn set_leaving(settings: &Snapshot, host: &Arc<str>, leaving: bool) -> Work {
     let on_host: Vec<_> = settings.endpoints.iter().filter(|(_, endpoint)| endpoint.host == *host).collect();
     if on_host.is_empty() {
-        return Err(PlanError::Unknown("endpoint host", host.clone()));
+        return Err(PlanError::NotFound("endpoint host", host.clone()));
     }
     let rows = on_host
         .iter()
@@ -348,7 +352,7 @@
         })
         .collect();
     let mut touches =
-        Touch { endpoints: on_host.iter().map(|(name, _)| (*name).clone()).collect(), ..Touch::default() };
+        Impact { endpoints: on_host.iter().map(|(name, _)| (*name).clone()).collect(), ..Impact::default() };
     if leaving {
         touches.warnings = last_ones(settings, host);
     }
@@ -368,7 +372,7 @@
 
 fn serve(settings: &Snapshot, name: &Arc<str>, role: Role, serves: &Arc<str>) -> Work {
     let Some(endpoint) = settings.endpoints.get(name) else {
-        return Err(PlanError::Unknown("endpoint", name.clone()));
+        return Err(PlanError::NotFound("endpoint", name.clone()));
     };
     let mut next = (**endpoint).clone();
     (next.role, next.serves) = (role, serves.clone());
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -49,7 +49,7 @@
     pub withdrawn: bool,
     /// What happens to answers already streaming when the key is withdrawn.
     #[serde(default)]
-    pub running: Running,
+    pub running: WithdrawalPolicy,
 }
 
 /// What becomes of a running decode when its key is withdrawn.
@@ -58,7 +58,7 @@
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
-pub enum Running {
+pub enum WithdrawalPolicy {
     /// It is cut: a withdrawn key has stopped working, whatever it had begun.
     #[default]
     Cut,
@@ -227,7 +227,7 @@
 impl std::error::Error for RowError {}
 
 /// An endpoint with its name.
-pub type Named = (Arc<str>, Arc<Endpoint>);
+pub type NamedEndpoint = (Arc<str>, Arc<Endpoint>);
 
 /// All settings at one version.
 #[derive(Clone, Debug, Default)]
@@ -242,7 +242,7 @@
     pub endpoints: BTreeMap<Arc<str>, Arc<Endpoint>>,
     /// Endpoints for each thing served, by role; each list in the order of names. Derived from
     /// `endpoints`.
-    served: BTreeMap<Role, BTreeMap<Arc<str>, Vec<Named>>>,
+    served: BTreeMap<Role, BTreeMap<Arc<str>, Vec<NamedEndpoint>>>,
     /// Digests of withdrawn keys by key identifier. Derived from `keys`.
     withdrawn: BTreeSet<Arc<str>>,
 }
@@ -293,7 +293,7 @@
     }
 
     /// The customer and key behind a caller's key, unless unknown or withdrawn.
-    pub fn identify(&self, key: &str) -> Option<Arc<Key>> {
+    pub fn authenticate(&self, key: &str) -> Option<Arc<Key>> {
         let key = self.keys.get(digest(key).as_str())?;
         let live = !key.withdrawn && self.customers.contains_key(&key.customer);
         live.then(|| key.clone())
@@ -305,7 +305,7 @@
     }
 
     /// The endpoints that serve `name` in `role`, leaving ones included.
-    pub fn serving(&self, name: &str, role: Role) -> &[Named] {
+    pub fn serving(&self, name: &str, role: Role) -> &[NamedEndpoint] {
         self.served.get(&role).and_then(|served| served.get(name)).map_or(&[], Vec::as_slice)
     }
 
--- a/crates/core/tests/agent.rs
+++ b/crates/core/tests/agent.rs
@@ -6,7 +6,7 @@
     Attempt, Code, Request, Time,
     agent::{Action, Input, Link, Outcome, State},
     message::{Breakage, Event, Order, Work},
-    settings::{Customer, Endpoint, Key, Role, Row, Running, Snapshot},
+    settings::{Customer, Endpoint, Key, Role, Row, Snapshot, WithdrawalPolicy},
 };
 
 const LINK: Link = 1;
@@ -35,14 +35,14 @@
     }
 }
 
-fn key(withdrawn: bool, running: Running) -> Row {
+fn key(withdrawn: bool, running: WithdrawalPolicy) -> Row {
     Row::Key("digest".into(), Some(Key { id: "key".into(), customer: "faculty".into(), withdrawn, running }))
 }
 
 fn settings() -> Snapshot {
     let rows = [
         Row::Customer("faculty".into(), Some(Customer { rate: 1, burst: 1, weight: 1 })),
-        key(false, Running::Cut),
+        key(false, WithdrawalPolicy::Cut),
         Row::Endpoint("decode".into(), Some(endpoint(Role::Decode))),
         Row::Endpoint("prefill".into(), Some(endpoint(Role::Prefill))),
     ];
@@ -166,7 +166,7 @@
     let mut state = agent();
     state.step(at(0), hold(1));
     state.step(at(0), decode(1));
-    let next = settings().apply(2, &[key(true, Running::Cut)]).expect("newer");
+    let next = settings().apply(2, &[key(true, WithdrawalPolicy::Cut)]).expect("newer");
     let actions = state.step(at(10), Input::Settings(Arc::new(next)));
     assert!(actions.contains(&Action::Abort(attempt(1), "decode".into())));
     assert_eq!(refusals(&actions), [(Code::BadKey, false)]);
@@ -178,7 +178,7 @@
     let mut state = agent();
     state.step(at(0), hold(1));
     state.step(at(0), decode(1));
-    let next = settings().apply(2, &[key(true, Running::Finish)]).expect("newer");
+    let next = settings().apply(2, &[key(true, WithdrawalPolicy::Finish)]).expect("newer");
     let actions = state.step(at(10), Input::Settings(Arc::new(next)));
     assert_eq!(actions, []);
 }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -8,10 +8,10 @@
     Attempt, Request, Time,
     message::Load,
     placement::{Need, Policy, Search, View},
-    settings::{Endpoint, Named, Role},
+    settings::{Endpoint, NamedEndpoint, Role},
 };
 
-fn endpoints(count: usize) -> Vec<Named> {
+fn endpoints(count: usize) -> Vec<NamedEndpoint> {
     let endpoint = Endpoint {
         role: Role::Decode,
         serves: "drafting".into(),
@@ -42,7 +42,7 @@
 struct Fleet {
     view: View,
     rng: ChaCha8Rng,
-    endpoints: Vec<Named>,
+    endpoints: Vec<NamedEndpoint>,
     sent: u32,
 }
 
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -3,7 +3,7 @@
 use quickcheck::{Gen, QuickCheck};
 use tarragonhill_core::{
     plan::{Intent, Plan, PlanError},
-    settings::{Customer, Endpoint, Role, Row, Running, Snapshot, digest},
+    settings::{Customer, Endpoint, Role, Row, Snapshot, WithdrawalPolicy, digest},
 };
 
 fn snapshot() -> Snapshot {
@@ -31,7 +31,7 @@
 }
 
 fn plan(intent: Intent) -> Result<Plan, PlanError> {
-    Plan::make("id".into(), &snapshot(), intent, |_| 0)
+    Plan::build("id".into(), &snapshot(), intent, |_| 0)
 }
 
 fn put(burst: u64) -> Intent {
@@ -55,13 +55,13 @@
     let given = given.expect("a plan");
     let rows = given.confirm(&snapshot(), &given.digest()).expect("confirmed");
     let with_key = snapshot().apply(8, &rows).expect("newer");
-    assert_eq!(with_key.identify("secret").map(|key| key.customer.clone()), Some("faculty".into()));
-    assert!(with_key.identify("other").is_none());
-    let withdraw = Intent::WithdrawKey { id: "k1".into(), running: Running::Cut };
-    let withdrawn = Plan::make("id".into(), &with_key, withdraw, |_| 0).expect("a plan");
+    assert_eq!(with_key.authenticate("secret").map(|key| key.customer.clone()), Some("faculty".into()));
+    assert!(with_key.authenticate("other").is_none());
+    let withdraw = Intent::WithdrawKey { id: "k1".into(), running: WithdrawalPolicy::Cut };
+    let withdrawn = Plan::build("id".into(), &with_key, withdraw, |_| 0).expect("a plan");
     let rows = withdrawn.confirm(&with_key, &withdrawn.digest()).expect("confirmed");
     let without = with_key.apply(9, &rows).expect("newer");
-    assert!(without.identify("secret").is_none());
+    assert!(without.authenticate("secret").is_none());
     assert!(without.is_withdrawn("k1"));
 }
 
@@ -71,7 +71,7 @@
     let planned = plan(put(99)).expect("a plan");
     let moved = snapshot().apply(8, &[]).expect("newer");
     let refused = planned.confirm(&moved, &planned.digest());
-    assert_eq!(refused, Err(PlanError::Moved { rests_on: 7, current: 8 }));
+    assert_eq!(refused, Err(PlanError::VersionConflict { planned: 7, current: 8 }));
 }
 
 /// Someone edits the plan between plan and confirm. The digest covers it, and rows are worked out
@@ -82,8 +82,8 @@
     let digest = planned.digest();
     let mut edited = planned.clone();
     edited.intent = put(1_000_000);
-    assert_eq!(edited.confirm(&snapshot(), &digest), Err(PlanError::Digest));
-    assert_eq!(edited.confirm(&snapshot(), &edited.digest()), Err(PlanError::Digest));
+    assert_eq!(edited.confirm(&snapshot(), &digest), Err(PlanError::DigestMismatch));
+    assert_eq!(edited.confirm(&snapshot(), &edited.digest()), Err(PlanError::DigestMismatch));
 }
 
 #[test]
--- a/crates/daemon/src/entry/operators.rs
+++ b/crates/daemon/src/entry/operators.rs
@@ -88,7 +88,7 @@
     };
     let settings = context.current.get();
     let running = context.running.load(std::sync::atomic::Ordering::Relaxed);
-    match Plan::make(new_request().to_string(), &settings, intent, |_| running) {
+    match Plan::build(new_request().to_string(), &settings, intent, |_| running) {
         Ok(plan) => Outbound::json(200, &json!({"digest": plan.digest(), "plan": plan})),
         Err(why) => error(400, "bad_intent", &why.to_string()),
     }
@@ -106,7 +106,7 @@
     let settings = context.current.get();
     let rows = match plan.confirm(&settings, &digest) {
         Ok(rows) => rows,
-        Err(why @ PlanError::Moved { .. }) => return error(409, "moved", &why.to_string()),
+        Err(why @ PlanError::VersionConflict { .. }) => return error(409, "moved", &why.to_string()),
         Err(why) => return error(400, "bad_confirm", &why.to_string()),
     };
     let version_row = match context.table.get(VERSION_ROW).await {
@@ -115,7 +115,7 @@
     };
     let stands = version_row.as_ref().and_then(|row| row.value.as_ref()).and_then(Value::as_u64).unwrap_or(0);
     if stands != plan.version {
-        let why = PlanError::Moved { rests_on: plan.version, current: stands };
+        let why = PlanError::VersionConflict { planned: plan.version, current: stands };
         return error(409, "moved", &why.to_string());
     }
     let expected = version_row.map_or(0, |row| row.version);
@@ -139,7 +139,7 @@
         })
         .collect();
     let record = json!({"outcome": "confirmed", "version": plan.version + 1});
-    writes.push(Write { key: plan.record(), expected: Some(0), value: Some(record) });
+    writes.push(Write { key: plan.record_key(), expected: Some(0), value: Some(record) });
     match context.table.commit(&Transaction { writes }).await {
         Ok(_) => accepted(context, plan.version + 1).await,
         Err(TableError::Conflict(_)) => {
--- a/crates/daemon/src/entry/stages.rs
+++ b/crates/daemon/src/entry/stages.rs
@@ -16,7 +16,7 @@
 use tarragonhill_core::{
     Code, Refusal, Request, Time,
     quota::{Admission, Waiter},
-    settings::{Key, Running},
+    settings::{Key, WithdrawalPolicy},
 };
 
 use crate::entry::context::Context;
@@ -46,7 +46,7 @@
     context.check_serving()?;
     let key = authorization.and_then(|value| value.strip_prefix("Bearer "));
     let key = key.ok_or_else(|| bad_key("a key must be sent as bearer token"))?;
-    context.current.get().identify(key).ok_or_else(|| bad_key("the key is unknown or withdrawn"))
+    context.current.get().authenticate(key).ok_or_else(|| bad_key("the key is unknown or withdrawn"))
 }
 
 fn bad_key(message: &str) -> Refusal {
@@ -70,7 +70,7 @@
         return false;
     }
     let key = settings.keys.values().find(|key| key.id == ticket.key.id);
-    key.is_none_or(|key| key.running == Running::Cut)
+    key.is_none_or(|key| key.running == WithdrawalPolicy::Cut)
 }
 
 /// Tokens charged for a request, given back unless they are used.
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -5,7 +5,7 @@
 use bpaf::{Parser, construct, long, positional};
 use tarragonhill_core::{
     plan::{Change, Intent},
-    settings::{Endpoint, Role, Running, digest},
+    settings::{Endpoint, Role, WithdrawalPolicy, digest},
 };
 use tarragonhill_operator::{Planned, new_key};
 
@@ -100,8 +100,8 @@
 fn withdraw_key() -> impl Parser<Wish> {
     let running = long("running")
         .help("What becomes of answers already streaming: cut or finish")
-        .argument::<Running>("WHAT")
-        .fallback(Running::Cut)
+        .argument::<WithdrawalPolicy>("WHAT")
+        .fallback(WithdrawalPolicy::Cut)
         .display_fallback();
     let id = positional::<String>("ID").help("Public identifier of the key").map(Arc::from);
     construct!(Intent::WithdrawKey { running, id })
