--- a/crates/core/src/home.rs
+++ b/crates/core/src/home.rs
@@ -1,11 +1,11 @@
-//! Which entry is the home of which customers, and how that changes hands.
+//! Shard ownership: which entry is the home of a customer and keeps its token bucket.
 //!
-//! Customers fall into [`SHARDS`] shards. The owner of a shard, its epoch and its successor stand
-//! in a row of the platform's table; so does one lease row for each entry. A home lends in full
-//! while its lease is renewed by the table or, the table being out of reach, by the successor.
-//! Un-renewed it falls to half its share. Whoever takes over without a clean handover waits out
-//! the lease and the slices, starts empty, and has half the share until the old owner is known to
-//! be gone. The shares of all that lend for a shard therefore never add up to more than one.
+//! Customers are hashed into [`SHARDS`] shards. The table holds one row per shard (owner, epoch,
+//! successor) and one lease row per entry. An owner whose lease is renewed, by the table or by its
+//! successors, lends its full share; without a lease it lends half. A takeover without a handover
+//! waits until the lease and all loans have expired, starts with empty buckets, and gets half the
+//! share until the previous owner is known to have terminated. The shares of all entries that lend
+//! for a shard therefore never add up to more than one.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,22 +23,21 @@
     settings::Snapshot,
 };
 
-/// Number of shards; fixed, since rows of the table are named by it.
+/// Number of shards. Must not change: shard numbers are part of the stored row keys.
 pub const SHARDS: u32 = 64;
-/// Prefix of the rows of shards.
+/// Key prefix of shard rows.
 pub const SHARD_PREFIX: &str = "home/shard/";
-/// Prefix of the lease rows of entries.
+/// Key prefix of lease rows.
 pub const MEMBER_PREFIX: &str = "home/member/";
-/// How long a renewal lasts, counted by the holder from when it began to renew.
+/// Lease duration, counted by the holder from the start of the renewal.
 pub const LEASE: Duration = Duration::from_secs(6);
-/// How much longer others wait, counted from when they last saw the lease row change. They see a
-/// change only after the holder began it, so their count ends later by itself; the margin covers
-/// drift of clocks.
+/// Extra time that other entries wait after the lease, to cover clock drift. They count from when
+/// they read the renewed row, which is always after the holder began to renew.
 const LEASE_MARGIN: Duration = Duration::from_millis(500);
-/// An offer whose write was lost is withdrawn after this long.
+/// Time after which an offer that has not shown up in the table is withdrawn.
 const OFFER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Shard of a customer.
+/// Returns the shard of a customer.
 pub fn shard(customer: &str) -> u32 {
     u32::try_from(xxh3_64(customer.as_bytes()) % u64::from(SHARDS)).unwrap_or(0)
 }
@@ -46,246 +45,249 @@
 /// Lease row of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Random for each process, so that a restarted entry is told from its predecessor.
+    /// Random number that distinguishes a restarted entry from the previous process.
     pub incarnation: u64,
-    /// Where its peers reach it, `ip:port`.
+    /// Address of the peer service, `ip:port`.
     pub address: Arc<str>,
-    /// Availability zone.
+    /// Availability zone of the entry.
     pub zone: Arc<str>,
-    /// Counts renewals.
+    /// Number of renewals, so that each renewal changes the row.
     pub beat: u64,
-    /// Set on a graceful shutdown.
+    /// Whether the entry has shut down and handed over all its shards.
     pub left: bool,
 }
 
 /// Row of a shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Shard {
-    /// Name of the owner, or of the entry it is offered to.
+    /// Name of the owner, or of the entry that the shard is offered to.
     pub owner: Arc<str>,
-    /// The owner's incarnation; zero while offered.
+    /// Incarnation of the owner; zero while the shard is offered.
     pub incarnation: u64,
-    /// Goes up with every change of owner.
+    /// Increases with every change of owner.
     pub epoch: u64,
-    /// The only entry that may follow the owner without a clean handover.
+    /// Entry that may take over without a handover; empty if there is none.
     pub successor: Arc<str>,
-    /// Part of the rate that this owner may lend.
+    /// Fraction of the customers' rates that the owner may lend.
     pub share: f64,
-    /// Owners not yet known to be gone; the share is whole only without any.
+    /// Previous owners, with their incarnations, that may still be running. The share is restored to
+    /// one when there are none.
     pub parted: BTreeMap<Arc<str>, u64>,
-    /// What the owner starts with.
+    /// Bucket levels that the owner starts with.
     pub start: InitialBuckets,
 }
 
-/// What a home starts with.
+/// Bucket levels at the start of an ownership.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InitialBuckets {
-    /// Full buckets: nobody has lent before.
+    /// Full buckets: the shard has had no owner before.
     Full,
-    /// Empty buckets: the last owner's level is not known.
+    /// Empty buckets: the levels of the previous owner are unknown.
     Empty,
-    /// What the last owner handed over; customers not named are new and start full.
+    /// Levels handed over by the previous owner. Customers that are not listed start full.
     Handed(BTreeMap<Arc<str>, BucketState>),
 }
 
-/// One customer's state at a handover.
+/// State of one customer's token bucket at a handover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BucketState {
     /// Tokens in the bucket.
     pub level: u64,
-    /// Tokens lent that may still be spent for one term.
+    /// Tokens on loan, which borrowers may still spend for one loan term.
     pub lent: u64,
 }
 
-/// A row as read, with the version to compare against.
+/// A row read from the table, with its version.
 #[derive(Clone, Debug)]
 struct Versioned<T> {
     row: T,
     version: u64,
-    /// When this version was first seen here.
-    since: Time,
+    /// When this version was first read here.
+    observed_at: Time,
 }
 
-/// A compare-and-set that the edge carries out. Its outcome is learnt by reading the row again, so
-/// a lost answer needs no handling of its own.
+/// A compare-and-set for the caller to execute. Its outcome is learned by reading the row again, so
+/// a lost reply needs no special handling.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Write {
     /// Table key.
     pub key: String,
-    /// Version that must stand there; zero for none.
+    /// Required current version of the row; zero if the row must not exist.
     pub expected: u64,
-    /// The new value.
+    /// New value.
     pub value: serde_json::Value,
 }
 
-/// Who is the home, for an entry that asked the wrong one.
+/// Rejection of a loan request by an entry that is not the customer's home.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NotHome {
-    /// The owner as far as known, empty if there is none.
+    /// Owner as far as known; empty if there is none.
     pub owner: Arc<str>,
-    /// Epoch of that ownership.
+    /// Epoch of that owner.
     pub epoch: u64,
 }
 
-/// A shard this process lends for.
+/// A shard owned by this process.
 #[derive(Clone, Debug)]
 struct OwnedShard {
     epoch: u64,
     share: Share,
-    /// What customers without a lender start with.
+    /// Initial levels for customers that have no lender yet.
     start: InitialBuckets,
-    /// Nothing is lent before then: the last owner's slices may still be spent.
-    opens: Time,
+    /// Nothing is lent before this time, as loans of the previous owner may still be spent.
+    lend_from: Time,
     lenders: BTreeMap<Arc<str>, Lender>,
-    /// Set while a handover is being written; nothing is lent meanwhile.
-    offered: Option<Time>,
+    /// When the shard was offered to another entry; nothing is lent after that.
+    offered_at: Option<Time>,
 }
 
-/// One entry's view of all homes, and its owned shards.
+/// Ownership state of one entry: all shards and members as read, and the shards that it owns.
 #[derive(Clone, Debug)]
 pub struct Home {
-    me: Arc<str>,
+    name: Arc<str>,
     incarnation: u64,
     address: Arc<str>,
     zone: Arc<str>,
-    beat: u64,
-    /// End of the own lease.
-    lease: Time,
+    renewals: u64,
+    lease_expires_at: Time,
     leaving: bool,
     members: BTreeMap<Arc<str>, Versioned<Member>>,
     shards: BTreeMap<u32, Versioned<Shard>>,
     owned_shards: BTreeMap<u32, OwnedShard>,
-    /// Renewals granted to members as their successor: no takeover before then.
-    promised: BTreeMap<Arc<str>, Time>,
-    /// Hosts that the platform says are gone.
-    gone: BTreeSet<Arc<str>>,
+    /// Expiry of the renewals granted as successor, by member; no takeover before then.
+    granted_renewals: BTreeMap<Arc<str>, Time>,
+    /// Hosts that the platform lists as removed.
+    removed: BTreeSet<Arc<str>>,
 }
 
 impl Home {
-    /// An entry that has read nothing yet.
-    pub fn new(me: Arc<str>, incarnation: u64, address: Arc<str>, zone: Arc<str>) -> Self {
+    /// Creates the state of an entry that has read no rows yet.
+    pub fn new(name: Arc<str>, incarnation: u64, address: Arc<str>, zone: Arc<str>) -> Self {
         Self {
-            me,
+            name,
             incarnation,
             address,
             zone,
-            beat: 0,
-            lease: Time::ZERO,
+            renewals: 0,
+            lease_expires_at: Time::ZERO,
             leaving: false,
             members: BTreeMap::new(),
             shards: BTreeMap::new(),
             owned_shards: BTreeMap::new(),
-            promised: BTreeMap::new(),
-            gone: BTreeSet::new(),
+            granted_renewals: BTreeMap::new(),
+            removed: BTreeSet::new(),
         }
     }
 
-    /// The write that renews the own lease. Pass the time before the write to [`Home::extend_lease`].
+    /// Returns the write that renews this entry's lease. If it succeeds, pass the time at which it
+    /// began to [`Home::extend_lease`].
     pub fn prepare_renewal(&mut self) -> Write {
-        self.beat += 1;
+        self.renewals += 1;
         let row = Member {
             incarnation: self.incarnation,
             address: self.address.clone(),
             zone: self.zone.clone(),
-            beat: self.beat,
+            beat: self.renewals,
             left: self.leaving && self.owned_shards.is_empty(),
         };
-        let expected = self.members.get(&self.me).map_or(0, |member| member.version);
-        write(format!("{MEMBER_PREFIX}{}", self.me), expected, &row)
+        let expected = self.members.get(&self.name).map_or(0, |member| member.version);
+        write(format!("{MEMBER_PREFIX}{}", self.name), expected, &row)
     }
 
-    /// Notes that the lease was renewed by a write, or by the successor's word, begun at `began`.
+    /// Extends the lease after a renewal, by the table or by all successors, that began at `began`.
     pub fn extend_lease(&mut self, began: Time) {
-        self.lease = self.lease.max(began.plus(LEASE));
+        self.lease_expires_at = self.lease_expires_at.max(began.plus(LEASE));
     }
 
-    /// Whether the own lease stands.
+    /// Returns whether this entry's lease is valid.
     pub fn has_lease(&self, now: Time) -> bool {
-        now < self.lease
+        now < self.lease_expires_at
     }
 
-    /// Successors whose word renews the lease while the table is out of reach; all of them must
-    /// give it.
+    /// Returns the successors of the owned shards. All of them must grant a renewal to extend the
+    /// lease while the table is unreachable.
     pub fn successors(&self) -> BTreeSet<Arc<str>> {
-        let mine = self.owned_shards.keys().filter_map(|shard| self.shards.get(shard));
-        mine.map(|shard| shard.row.successor.clone())
-            .filter(|name| !name.is_empty() && *name != self.me)
+        let rows = self.owned_shards.keys().filter_map(|shard| self.shards.get(shard));
+        rows.map(|shard| shard.row.successor.clone())
+            .filter(|name| !name.is_empty() && *name != self.name)
             .collect()
     }
 
-    /// Answers a member that asks its successor for renewal.
+    /// Grants a member one more lease, unless one of its shards has been taken over. This entry takes
+    /// nothing over from the member until the grant expires.
     pub fn grant_renewal(&mut self, now: Time, member: &Arc<str>, incarnation: u64) -> bool {
-        let taken = self.shards.values().any(|shard| shard.row.parted.get(member) == Some(&incarnation));
-        if taken {
+        let was_replaced =
+            self.shards.values().any(|shard| shard.row.parted.get(member) == Some(&incarnation));
+        if was_replaced {
             return false;
         }
-        self.promised.insert(member.clone(), now.plus(LEASE).plus(LEASE_MARGIN));
+        self.granted_renewals.insert(member.clone(), now.plus(LEASE).plus(LEASE_MARGIN));
         true
     }
 
-    /// Takes the platform's word on hosts that are gone.
+    /// Sets the hosts that the platform lists as removed.
     pub fn set_removed_hosts(&mut self, hosts: BTreeSet<Arc<str>>) {
-        self.gone = hosts;
+        self.removed = hosts;
     }
 
-    /// Takes a lease row read from the table.
+    /// Records a lease row read from the table.
     pub fn observe_member(&mut self, now: Time, name: &str, version: u64, row: Member) {
-        let newer = self.members.get(name).is_none_or(|seen| seen.version < version);
-        if newer {
-            self.members.insert(name.into(), Versioned { row, version, since: now });
+        let is_newer = self.members.get(name).is_none_or(|known| known.version < version);
+        if is_newer {
+            self.members.insert(name.into(), Versioned { row, version, observed_at: now });
         }
     }
 
-    /// Takes a shard row read from the table, and begins or ends ownership by it.
+    /// Records a shard row read from the table, and starts or ends ownership accordingly.
     pub fn observe_shard(&mut self, now: Time, shard: u32, version: u64, row: Shard) {
-        let newer = self.shards.get(&shard).is_none_or(|seen| seen.version < version);
-        if !newer {
+        let is_newer = self.shards.get(&shard).is_none_or(|known| known.version < version);
+        if !is_newer {
             return;
         }
-        let own = row.owner == self.me && row.incarnation == self.incarnation;
+        let is_owner = row.owner == self.name && row.incarnation == self.incarnation;
         match self.owned_shards.get_mut(&shard) {
-            Some(owned) if own && owned.epoch == row.epoch => {
+            Some(owned) if is_owner && owned.epoch == row.epoch => {
                 owned.share = Share::new(row.share);
-                owned.offered = None;
+                owned.offered_at = None;
             }
-            _ if own => {
-                self.owned_shards.insert(shard, OwnedShard::begin(now, &row));
+            _ if is_owner => {
+                self.owned_shards.insert(shard, OwnedShard::new(now, &row));
             }
             _ => {
                 self.owned_shards.remove(&shard);
             }
         }
-        self.shards.insert(shard, Versioned { row, version, since: now });
+        self.shards.insert(shard, Versioned { row, version, observed_at: now });
     }
 
-    /// Starts to hand everything over.
+    /// Starts to hand over all owned shards.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// The entry a write offers a shard to, if it does.
+    /// Returns the entry that the write offers a shard to, if it is an offer.
     pub fn offer_recipient(write: &Write) -> Option<Arc<str>> {
         let row: Shard = serde_json::from_value(write.value.clone()).ok()?;
         (row.incarnation == 0).then_some(row.owner)
     }
 
-    /// Whether nothing is left to hand over.
+    /// Returns whether this entry owns no shards.
     pub fn is_empty(&self) -> bool {
         self.owned_shards.is_empty()
     }
 
-    /// Shards this process lends for.
+    /// Returns the number of owned shards.
     pub fn owned_shard_count(&self) -> usize {
         self.owned_shards.len()
     }
 
-    /// Address of a member's peer service.
+    /// Returns the address of a member's peer service.
     pub fn address(&self, name: &str) -> Option<Arc<str>> {
         self.members.get(name).map(|member| member.row.address.clone())
     }
 
-    /// Names of the members whose lease is not seen to have lapsed, this one included.
+    /// Returns the names of all members with an unexpired lease, including this entry.
     pub fn live_members(&self, now: Time) -> BTreeSet<Arc<str>> {
         let live =
             self.members.iter().filter(|(_, member)| self.is_live(now, member)).map(|(name, _)| name.clone());
@@ -293,30 +295,30 @@
     }
 
     fn is_live(&self, now: Time, member: &Versioned<Member>) -> bool {
-        !member.row.left && now.since(member.since) < LEASE + LEASE_MARGIN
+        !member.row.left && now.since(member.observed_at) < LEASE + LEASE_MARGIN
     }
 
-    /// The owner of a customer's shard.
+    /// Returns the owner of a customer's shard.
     pub fn owner(&self, customer: &str) -> Option<Arc<str>> {
         Some(self.shards.get(&shard(customer))?.row.owner.clone())
     }
 
-    /// The entry that may follow the owner of a customer's shard.
+    /// Returns the successor for a customer's shard.
     pub fn successor_of(&self, customer: &str) -> Option<Arc<str>> {
         Some(self.shards.get(&shard(customer))?.row.successor.clone())
     }
 
-    /// Lends to a borrower, if this is the customer's home.
+    /// Answers a loan request if this entry is the customer's home.
     pub fn lend(
         &mut self,
         now: Time,
         settings: &Snapshot,
         customer: &Arc<str>,
         borrower: &Arc<str>,
-        loan: LoanRequest,
+        request: LoanRequest,
     ) -> Result<Grant, NotHome> {
         let shard = shard(customer);
-        let renewed = self.has_lease(now);
+        let has_lease = self.has_lease(now);
         let known = self.shards.get(&shard);
         let not_home = || NotHome {
             owner: known.map_or_else(|| "".into(), |shard| shard.row.owner.clone()),
@@ -324,25 +326,24 @@
         };
         let Some(owned) = self.owned_shards.get_mut(&shard) else { return Err(not_home()) };
         let Some(terms) = settings.customers.get(customer) else { return Err(not_home()) };
-        if owned.offered.is_some() {
+        if owned.offered_at.is_some() {
             return Err(not_home());
         }
-        if now < owned.opens {
-            return Ok(Grant { tokens: 0, term: LOAN_TERM, retry_after: owned.opens.since(now) });
+        if now < owned.lend_from {
+            return Ok(Grant { tokens: 0, term: LOAN_TERM, retry_after: owned.lend_from.since(now) });
         }
-        // Guards against a second home: this process may be cut off from both the table and the
-        // successor, which then lends the other half.
-        let share = if renewed { owned.share } else { owned.share.half() };
-        let (start, opens) = (&owned.start, owned.opens);
+        // Without a lease the successor may have taken over, and lends the other half.
+        let share = if has_lease { owned.share } else { owned.share.half() };
+        let (start, lend_from) = (&owned.start, owned.lend_from);
         let lender = owned
             .lenders
             .entry(customer.clone())
-            .or_insert_with(|| start.lender(customer, terms, opens, now));
+            .or_insert_with(|| start.create_lender(customer, terms, lend_from, now));
         lender.adjust(terms, share, now);
-        Ok(lender.lend(now, borrower, loan))
+        Ok(lender.lend(now, borrower, request))
     }
 
-    /// The writes that bring ownership closer to what it should be. Needs a standing lease.
+    /// Returns the writes that move the shards towards their preferred owners. Empty without a lease.
     pub fn plan_writes(&mut self, now: Time, settings: &Snapshot) -> Vec<Write> {
         if !self.has_lease(now) {
             return Vec::new();
@@ -358,79 +359,80 @@
         shard: u32,
         live: &BTreeSet<Arc<str>>,
     ) -> Option<Write> {
-        let stays = |name: &&Arc<str>| !(self.leaving && **name == self.me);
-        let ranked = rank(shard, live.iter().filter(stays));
-        let wanted = ranked.first().cloned();
+        let is_candidate = |name: &&Arc<str>| !(self.leaving && **name == self.name);
+        let ranked = rank(shard, live.iter().filter(is_candidate));
+        let preferred_owner = ranked.first().cloned();
         let Some(known) = self.shards.get(&shard).cloned() else {
-            let first = wanted.as_ref() == Some(&self.me);
-            return first.then(|| self.claim(shard, 0, None, InitialBuckets::Full, &ranked));
+            let is_first = preferred_owner.as_ref() == Some(&self.name);
+            return is_first.then(|| self.claim(shard, 0, None, InitialBuckets::Full, &ranked));
         };
         let row = &known.row;
         if row.incarnation == 0 {
-            return self.accept(shard, &known, live, wanted.as_ref(), &ranked);
+            return self.accept_offer(shard, &known, live, preferred_owner.as_ref(), &ranked);
         }
         if self.owned_shards.contains_key(&shard) {
-            return self.tend(now, settings, shard, &known, wanted.as_ref(), &ranked);
+            return self.maintain(now, settings, shard, &known, preferred_owner.as_ref(), &ranked);
         }
-        self.succeed(now, shard, &known, live, &ranked)
+        self.take_over(now, shard, &known, live, &ranked)
     }
 
-    /// Takes a shard that was offered, to us or to someone who has left since.
-    fn accept(
+    /// Claims a shard that is offered to this entry, or to an entry that is no longer live.
+    fn accept_offer(
         &self,
         shard: u32,
         known: &Versioned<Shard>,
         live: &BTreeSet<Arc<str>>,
-        wanted: Option<&Arc<str>>,
+        preferred_owner: Option<&Arc<str>>,
         ranked: &[Arc<str>],
     ) -> Option<Write> {
         let row = &known.row;
-        let stranded = !live.contains(&row.owner) && wanted == Some(&self.me);
-        if self.leaving || !(row.owner == self.me || stranded) {
+        let is_orphaned = !live.contains(&row.owner) && preferred_owner == Some(&self.name);
+        if self.leaving || !(row.owner == self.name || is_orphaned) {
             return None;
         }
         Some(self.claim(shard, known.version, Some(row), row.start.clone(), ranked))
     }
 
-    /// Keeps an own shard: hands it over, names a live successor, or makes the share whole.
-    fn tend(
+    /// Maintains an owned shard: offers it to its preferred owner, replaces the successor, restores the
+    /// share or withdraws a lost offer.
+    fn maintain(
         &mut self,
         now: Time,
         settings: &Snapshot,
         shard: u32,
         known: &Versioned<Shard>,
-        wanted: Option<&Arc<str>>,
+        preferred_owner: Option<&Arc<str>>,
         ranked: &[Arc<str>],
     ) -> Option<Write> {
-        // The last entry to leave offers to nobody in particular: whoever comes first may take it.
-        let nobody: Arc<str> = "".into();
-        let taker = match wanted {
-            Some(wanted) => (*wanted != self.me).then_some(wanted),
-            None => self.leaving.then_some(&nobody),
+        // With no other live entry, the shard is offered to the empty name: any entry may claim it.
+        let no_recipient: Arc<str> = "".into();
+        let recipient = match preferred_owner {
+            Some(preferred_owner) => (*preferred_owner != self.name).then_some(preferred_owner),
+            None => self.leaving.then_some(&no_recipient),
         };
         let parted: BTreeMap<_, _> = known
             .row
             .parted
             .iter()
-            .filter(|(name, incarnation)| !self.is_gone(name, **incarnation))
+            .filter(|(name, incarnation)| !self.is_terminated(name, **incarnation))
             .map(|(name, incarnation)| (name.clone(), *incarnation))
             .collect();
-        let successor = self.successor(ranked);
+        let successor = self.choose_successor(ranked);
         let owned = self.owned_shards.get_mut(&shard)?;
-        if owned.offered.is_some_and(|since| now.since(since) < OFFER_TIMEOUT) {
+        if owned.offered_at.is_some_and(|offered_at| now.since(offered_at) < OFFER_TIMEOUT) {
             return None;
         }
-        if let Some(taker) = taker.filter(|_| owned.offered.is_none()) {
-            owned.offered = Some(now);
-            let start = InitialBuckets::Handed(owned.hand_over(now, settings, shard));
-            let owner = taker.clone();
+        if let Some(recipient) = recipient.filter(|_| owned.offered_at.is_none()) {
+            owned.offered_at = Some(now);
+            let start = InitialBuckets::Handed(owned.export_buckets(now, settings, shard));
+            let owner = recipient.clone();
             let row = Shard { owner, incarnation: 0, epoch: known.row.epoch + 1, start, ..known.row.clone() };
             return Some(write(shard_key(shard), known.version, &row));
         }
-        let whole = parted.is_empty() && known.row.share < 1.0;
-        let reassert = owned.offered.is_some();
-        let renamed = successor != known.row.successor;
-        if !(whole || reassert || renamed) {
+        let restores_share = parted.is_empty() && known.row.share < 1.0;
+        let withdraws_offer = owned.offered_at.is_some();
+        let changes_successor = successor != known.row.successor;
+        if !(restores_share || withdraws_offer || changes_successor) {
             return None;
         }
         let share = if parted.is_empty() { 1.0 } else { known.row.share };
@@ -438,8 +440,8 @@
         Some(write(shard_key(shard), known.version, &row))
     }
 
-    /// Takes over from an owner whose lease has lapsed, or that has been restarted.
-    fn succeed(
+    /// Takes over from an owner whose lease has expired or whose process has terminated.
+    fn take_over(
         &self,
         now: Time,
         shard: u32,
@@ -448,25 +450,27 @@
         ranked: &[Arc<str>],
     ) -> Option<Write> {
         let row = &known.row;
-        let gone = self.is_gone(&row.owner, row.incarnation);
-        let lapsed = !live.contains(&row.owner);
-        let promised = self.promised.get(&row.owner).is_some_and(|until| now < *until);
-        let first = ranked.first() == Some(&self.me);
-        let heir = match live.contains(&row.successor) {
-            true => row.successor == self.me,
-            // It was alone, so nobody has renewed it: cut off, it lends half.
-            false if row.successor.is_empty() => first,
-            // Owner and successor are both silent. They may be cut off together and renew one
-            // another, so a third entry follows only once the platform says that both are gone.
-            false => first && self.gone.contains(&row.successor) && self.gone.contains(&row.owner),
+        let terminated = self.is_terminated(&row.owner, row.incarnation);
+        let lease_expired = !live.contains(&row.owner);
+        let renewal_granted = self.granted_renewals.get(&row.owner).is_some_and(|expiry| now < *expiry);
+        let is_first = ranked.first() == Some(&self.name);
+        let is_successor = match live.contains(&row.successor) {
+            true => row.successor == self.name,
+            // Without a successor, only the table can have renewed the owner's lease, so it now lends half.
+            false if row.successor.is_empty() => is_first,
+            // Both leases have expired in the table, but the two may still renew each other behind a
+            // network partition. A third entry takes over only if both hosts are listed as removed.
+            false => is_first && self.removed.contains(&row.successor) && self.removed.contains(&row.owner),
         };
-        let restarted = gone && !lapsed && first;
-        let takes = restarted || (lapsed && heir) || (gone && first && !live.contains(&row.successor));
-        if self.leaving || promised || !takes {
+        let restarted = terminated && !lease_expired && is_first;
+        let takes_over = restarted
+            || (lease_expired && is_successor)
+            || (terminated && is_first && !live.contains(&row.successor));
+        if self.leaving || renewal_granted || !takes_over {
             return None;
         }
         let mut parted = row.parted.clone();
-        if !gone {
+        if !terminated {
             parted.insert(row.owner.clone(), row.incarnation);
         }
         let share = if parted.is_empty() { 1.0 } else { row.share / 2.0 };
@@ -474,49 +478,49 @@
         Some(self.claim(shard, known.version, Some(&next), InitialBuckets::Empty, ranked))
     }
 
-    /// Whether the process `incarnation` of `name` is known to run no more: it was replaced, has
-    /// left, or the platform lists its host as gone.
-    fn is_gone(&self, name: &Arc<str>, incarnation: u64) -> bool {
+    /// Returns whether the process is known to have terminated: it was restarted or shut down, or the
+    /// platform lists its host as removed.
+    fn is_terminated(&self, name: &Arc<str>, incarnation: u64) -> bool {
         let replaced = self
             .members
             .get(name)
             .is_some_and(|member| member.row.incarnation != incarnation || member.row.left);
-        replaced || self.gone.contains(name)
+        replaced || self.removed.contains(name)
     }
 
     fn claim(
         &self,
         shard: u32,
         expected: u64,
-        last: Option<&Shard>,
+        previous: Option<&Shard>,
         start: InitialBuckets,
         ranked: &[Arc<str>],
     ) -> Write {
         let row = Shard {
-            owner: self.me.clone(),
+            owner: self.name.clone(),
             incarnation: self.incarnation,
-            epoch: last.map_or(1, |last| last.epoch + 1),
-            successor: self.successor(ranked),
-            share: last.map_or(1.0, |last| last.share),
-            parted: last.map(|last| last.parted.clone()).unwrap_or_default(),
+            epoch: previous.map_or(1, |previous| previous.epoch + 1),
+            successor: self.choose_successor(ranked),
+            share: previous.map_or(1.0, |previous| previous.share),
+            parted: previous.map(|previous| previous.parted.clone()).unwrap_or_default(),
             start,
         };
         write(shard_key(shard), expected, &row)
     }
 
-    /// The best live entry to follow us: in another availability zone if there is one, so that the
-    /// loss of a zone never takes owner and successor together.
-    fn successor(&self, ranked: &[Arc<str>]) -> Arc<str> {
-        let others = || ranked.iter().filter(|name| **name != self.me);
-        let elsewhere =
+    /// Chooses the highest-ranked other entry, preferably in another availability zone, so that the
+    /// loss of a zone does not affect both owner and successor.
+    fn choose_successor(&self, ranked: &[Arc<str>]) -> Arc<str> {
+        let others = || ranked.iter().filter(|name| **name != self.name);
+        let in_other_zone =
             others().find(|name| self.members.get(*name).is_some_and(|member| member.row.zone != self.zone));
-        elsewhere.or_else(|| others().next()).cloned().unwrap_or_else(|| "".into())
+        in_other_zone.or_else(|| others().next()).cloned().unwrap_or_else(|| "".into())
     }
 }
 
 impl OwnedShard {
-    fn begin(now: Time, row: &Shard) -> Self {
-        let opens = match row.start {
+    fn new(now: Time, row: &Shard) -> Self {
+        let lend_from = match row.start {
             InitialBuckets::Empty => now.plus(LOAN_TERM + LEASE_MARGIN),
             InitialBuckets::Full | InitialBuckets::Handed(_) => now,
         };
@@ -524,44 +528,51 @@
             epoch: row.epoch,
             share: Share::new(row.share),
             start: row.start.clone(),
-            opens,
+            lend_from,
             lenders: BTreeMap::new(),
-            offered: None,
+            offered_at: None,
         }
     }
 
-    fn hand_over(
+    fn export_buckets(
         &mut self,
         now: Time,
         settings: &Snapshot,
         shard_number: u32,
     ) -> BTreeMap<Arc<str>, BucketState> {
-        let (start, opens) = (&self.start, self.opens);
-        let mine = settings.customers.iter().filter(|(name, _)| shard(name) == shard_number);
-        mine.map(|(name, terms)| {
-            let fresh = || start.lender(name, terms, opens, now);
-            let lender = self.lenders.entry(name.clone()).or_insert_with(fresh);
-            let handed = BucketState { level: lender.level(now), lent: lender.outstanding() };
-            (name.clone(), handed)
-        })
-        .collect()
+        let (start, lend_from) = (&self.start, self.lend_from);
+        let customers = settings.customers.iter().filter(|(name, _)| shard(name) == shard_number);
+        customers
+            .map(|(name, terms)| {
+                let create = || start.create_lender(name, terms, lend_from, now);
+                let lender = self.lenders.entry(name.clone()).or_insert_with(create);
+                let state = BucketState { level: lender.level(now), lent: lender.outstanding() };
+                (name.clone(), state)
+            })
+            .collect()
     }
 }
 
 impl InitialBuckets {
-    fn lender(&self, name: &Arc<str>, terms: &crate::settings::Customer, opens: Time, now: Time) -> Lender {
+    fn create_lender(
+        &self,
+        name: &Arc<str>,
+        terms: &crate::settings::Customer,
+        lend_from: Time,
+        now: Time,
+    ) -> Lender {
         match self {
             Self::Full => Lender::full(terms, now),
-            Self::Empty => Lender::with_level(terms, 0, 0, opens),
+            Self::Empty => Lender::with_level(terms, 0, 0, lend_from),
             Self::Handed(levels) => match levels.get(name) {
-                Some(handed) => Lender::with_level(terms, handed.level, handed.lent, opens),
+                Some(handed) => Lender::with_level(terms, handed.level, handed.lent, lend_from),
                 None => Lender::full(terms, now),
             },
         }
     }
 }
 
-/// Members in order of preference for a shard (highest random weight first).
+/// Orders members by preference for a shard, by rendezvous hashing.
 fn rank<'a>(shard: u32, members: impl Iterator<Item = &'a Arc<str>>) -> Vec<Arc<str>> {
     let mut ranked: Vec<(u64, Arc<str>)> = members.map(|name| (weight(shard, name), name.clone())).collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
--- a/crates/core/tests/home.rs
+++ b/crates/core/tests/home.rs
@@ -1,4 +1,5 @@
-//! Homes through deaths, pauses, outages and handovers: a small world of entries before one table.
+//! Shard ownership under crashes, pauses, table outages and handovers, in a simulated cluster of
+//! entries that share one table.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -13,7 +14,7 @@
 const BURST: u64 = 4_000;
 const CUSTOMER: &str = "faculty";
 
-/// The table as the entries see it.
+/// In-memory table with compare-and-set writes.
 #[derive(Default)]
 struct Table {
     rows: BTreeMap<String, (u64, serde_json::Value)>,
@@ -22,8 +23,8 @@
 
 impl Table {
     fn commit(&mut self, write: Write) -> bool {
-        let stands = self.rows.get(&write.key).map_or(0, |(version, _)| *version);
-        if stands != write.expected {
+        let current = self.rows.get(&write.key).map_or(0, |(version, _)| *version);
+        if current != write.expected {
             return false;
         }
         self.version += 1;
@@ -48,7 +49,7 @@
     }
 }
 
-struct World {
+struct Cluster {
     now: Time,
     table: Table,
     settings: Snapshot,
@@ -56,16 +57,16 @@
     serial: u64,
 }
 
-impl World {
+impl Cluster {
     fn new(names: &[&'static str]) -> Self {
         let customer = Customer { rate: RATE, burst: BURST, weight: 1 };
         let rows = [Row::Customer(CUSTOMER.into(), Some(customer))];
         let settings = Snapshot::default().apply(1, &rows).expect("newer");
-        let mut world =
+        let mut cluster =
             Self { now: Time::ZERO, table: Table::default(), settings, entries: BTreeMap::new(), serial: 0 };
-        names.iter().for_each(|name| world.start(name, 1));
-        (0..4).for_each(|_| world.round());
-        world
+        names.iter().for_each(|name| cluster.start(name, 1));
+        (0..4).for_each(|_| cluster.run_round());
+        cluster
     }
 
     fn start(&mut self, name: &'static str, incarnation: u64) {
@@ -73,9 +74,9 @@
         self.entries.insert(name, home);
     }
 
-    /// Every entry that reaches the table reads, renews, writes and reads again.
-    fn round_of(&mut self, names: &[&'static str]) {
-        self.pass(Duration::from_secs(1));
+    /// Advances one second; each of `names` then reads the table, renews its lease and writes.
+    fn run_round_on(&mut self, names: &[&'static str]) {
+        self.advance(Duration::from_secs(1));
         for name in names {
             let home = self.entries.get_mut(name).expect("known");
             self.table.read(self.now, home);
@@ -91,30 +92,32 @@
         }
     }
 
-    fn round(&mut self) {
+    fn run_round(&mut self) {
         let names: Vec<&'static str> = self.entries.keys().copied().collect();
-        self.round_of(&names);
+        self.run_round_on(&names);
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         self.now = self.now.plus(span);
     }
 
-    fn owner(&self, asked: &str) -> Arc<str> {
-        self.entries[asked].owner(CUSTOMER).expect("owned")
+    fn owner(&self, observer: &str) -> Arc<str> {
+        self.entries[observer].owner(CUSTOMER).expect("owned")
     }
 
-    /// What `name` lends for the asking; none if it is not the home.
+    /// Requests tokens from `name` as a new borrower; `None` if it is not the home.
     fn lend(&mut self, name: &str, tokens: u64) -> Option<u64> {
         self.serial += 1;
-        let loan = LoanRequest { tokens, minimum: 1, unspent: 0, refund: 0, serial: self.serial };
+        let request = LoanRequest { tokens, minimum: 1, unspent: 0, refund: 0, serial: self.serial };
         let home = self.entries.get_mut(name)?;
         let borrower = format!("borrower-{}", self.serial).into();
-        home.lend(self.now, &self.settings, &CUSTOMER.into(), &borrower, loan).ok().map(|grant| grant.tokens)
+        home.lend(self.now, &self.settings, &CUSTOMER.into(), &borrower, request)
+            .ok()
+            .map(|grant| grant.tokens)
     }
 
-    /// Takes all that `name` lends now.
-    fn drain(&mut self, name: &str) -> u64 {
+    /// Borrows from `name` until it lends nothing more, and returns the sum.
+    fn borrow_all(&mut self, name: &str) -> u64 {
         let mut sum = 0;
         while let Some(tokens) = self.lend(name, BURST).filter(|tokens| *tokens > 0) {
             sum += tokens;
@@ -129,170 +132,169 @@
 
 #[test]
 fn every_shard_gets_exactly_one_home() {
-    let world = World::new(&["a", "b", "c"]);
-    let owned_shards: usize = world.entries.values().map(Home::owned_shard_count).sum();
+    let cluster = Cluster::new(&["a", "b", "c"]);
+    let owned_shards: usize = cluster.entries.values().map(Home::owned_shard_count).sum();
     assert_eq!(owned_shards, SHARDS as usize);
-    assert!(world.entries.values().all(|home| home.owned_shard_count() > 0), "all of them take part");
+    assert!(cluster.entries.values().all(|home| home.owned_shard_count() > 0), "every entry owns shards");
 }
 
 #[test]
-fn handover_carries_the_level() {
-    let mut world = World::new(&["a", "b", "c"]);
-    let owner = world.owner("a");
-    let spent = world.drain(&owner);
+fn handover_preserves_the_bucket_level() {
+    let mut cluster = Cluster::new(&["a", "b", "c"]);
+    let owner = cluster.owner("a");
+    let spent = cluster.borrow_all(&owner);
     assert_eq!(spent, BURST);
-    world.entries.get_mut(&*owner).expect("known").leave();
-    (0..3).for_each(|_| world.round());
-    let next = world.owner(&owner);
+    cluster.entries.get_mut(&*owner).expect("known").leave();
+    (0..3).for_each(|_| cluster.run_round());
+    let next = cluster.owner(&owner);
     assert_ne!(next, owner);
-    assert!(world.entries[&*owner].is_empty(), "everything is handed over");
-    let level = world.drain(&next);
-    assert!(level <= 3 * RATE, "{level} tokens are more than three seconds bring");
+    assert!(cluster.entries[&*owner].is_empty(), "all shards are handed over");
+    let level = cluster.borrow_all(&next);
+    assert!(level <= 3 * RATE, "{level} tokens, more than the inflow of three seconds");
 }
 
-/// The home dies with all its tokens lent. Its successor must not lend before the lease and the
-/// slices have run out, or the customer is served twice.
+/// Guards against lending tokens twice after a crash: the dead home's loans may still be spent.
 #[test]
-fn unclean_takeover_waits_out_lease_and_slices() {
-    let mut world = World::new(&["a", "b", "c"]);
-    let owner = world.owner("a");
-    world.drain(&owner);
-    let others = world.others(&owner);
+fn takeover_waits_for_lease_and_loans_to_expire() {
+    let mut cluster = Cluster::new(&["a", "b", "c"]);
+    let owner = cluster.owner("a");
+    cluster.borrow_all(&owner);
+    let others = cluster.others(&owner);
     let mut waited = Duration::ZERO;
-    while world.owner(others[0]) == owner {
-        world.round_of(&others);
+    while cluster.owner(others[0]) == owner {
+        cluster.run_round_on(&others);
         waited += Duration::from_secs(1);
-        assert!(waited < Duration::from_secs(30), "nobody takes over");
+        assert!(waited < Duration::from_secs(30), "no entry takes over");
     }
-    assert!(waited >= LEASE, "taken over while the lease stood");
-    let next = world.owner(others[0]);
-    assert_eq!(world.lend(&next, 1), Some(0));
-    world.pass(LOAN_TERM);
-    (0..2).for_each(|_| world.round_of(&others));
-    let lent = world.drain(&next);
-    assert!((1..=2 * RATE).contains(&lent), "{lent} tokens at half the share");
+    assert!(waited >= LEASE, "taken over before the lease expired");
+    let next = cluster.owner(others[0]);
+    assert_eq!(cluster.lend(&next, 1), Some(0));
+    cluster.advance(LOAN_TERM);
+    (0..2).for_each(|_| cluster.run_round_on(&others));
+    let lent = cluster.borrow_all(&next);
+    assert!((1..=2 * RATE).contains(&lent), "{lent} tokens at half the rate");
 }
 
-/// The home is paused beyond its lease and another takes over. Waking up, it must not go on
-/// lending as before: its own clock tells it that the lease is over, before any message does.
+/// Guards against a home that resumes after a pause longer than its lease and keeps lending its full
+/// share before it has read of the takeover.
 #[test]
-fn paused_home_and_its_successor_lend_no_more_than_the_rate_together() {
-    let mut world = World::new(&["a", "b", "c"]);
-    let owner = world.owner("a");
-    world.drain(&owner);
-    let others = world.others(&owner);
-    (0..14).for_each(|_| world.round_of(&others));
-    let next = world.owner(others[0]);
+fn paused_home_and_its_successor_together_lend_at_most_the_rate() {
+    let mut cluster = Cluster::new(&["a", "b", "c"]);
+    let owner = cluster.owner("a");
+    cluster.borrow_all(&owner);
+    let others = cluster.others(&owner);
+    (0..14).for_each(|_| cluster.run_round_on(&others));
+    let next = cluster.owner(others[0]);
     assert_ne!(next, owner);
-    world.drain(&owner);
-    world.drain(&next);
+    cluster.borrow_all(&owner);
+    cluster.borrow_all(&next);
     let mut sum = 0;
     for _ in 0..10 {
-        world.round_of(&others);
-        sum += world.drain(&owner) + world.drain(&next);
+        cluster.run_round_on(&others);
+        sum += cluster.borrow_all(&owner) + cluster.borrow_all(&next);
     }
     assert!(sum <= 10 * RATE, "{sum} tokens in ten seconds");
     assert!(sum >= 5 * RATE, "the new home lends at least half: {sum}");
 }
 
-/// The paused home reads the table again: it learns that it is no longer the home.
 #[test]
-fn woken_home_gives_way_to_its_successor() {
-    let mut world = World::new(&["a", "b", "c"]);
-    let owner = world.owner("a");
-    let others = world.others(&owner);
-    (0..14).for_each(|_| world.round_of(&others));
-    let home = world.entries.get_mut(&*owner).expect("known");
-    world.table.read(world.now, home);
-    assert_eq!(world.lend(&owner, 1), None);
+fn resumed_home_stops_lending_after_a_takeover() {
+    let mut cluster = Cluster::new(&["a", "b", "c"]);
+    let owner = cluster.owner("a");
+    let others = cluster.others(&owner);
+    (0..14).for_each(|_| cluster.run_round_on(&others));
+    let home = cluster.entries.get_mut(&*owner).expect("known");
+    cluster.table.read(cluster.now, home);
+    assert_eq!(cluster.lend(&owner, 1), None);
 }
 
-/// The table is down for long. The owner is renewed by its successor's word and lends in full.
+/// The home lends its full share while its successor renews the lease.
 #[test]
-fn successors_word_renews_the_owner_through_an_outage() {
-    let mut world = World::new(&["a", "b", "c"]);
-    let owner = world.owner("a");
-    let successor = world.entries["a"].successor_of(CUSTOMER).expect("owned");
-    world.drain(&owner);
+fn successor_renews_the_owner_during_a_table_outage() {
+    let mut cluster = Cluster::new(&["a", "b", "c"]);
+    let owner = cluster.owner("a");
+    let successor = cluster.entries["a"].successor_of(CUSTOMER).expect("owned");
+    cluster.borrow_all(&owner);
     for _ in 0..30 {
-        world.pass(Duration::from_secs(1));
-        let now = world.now;
-        let granted = world.entries.get_mut(&*successor).expect("known").grant_renewal(now, &owner, 1);
+        cluster.advance(Duration::from_secs(1));
+        let now = cluster.now;
+        let granted = cluster.entries.get_mut(&*successor).expect("known").grant_renewal(now, &owner, 1);
         assert!(granted);
-        world.entries.get_mut(&*owner).expect("known").extend_lease(now);
+        cluster.entries.get_mut(&*owner).expect("known").extend_lease(now);
     }
-    assert_eq!(world.drain(&owner), BURST);
+    assert_eq!(cluster.borrow_all(&owner), BURST);
 }
 
-/// Having promised not to take over, the successor must not, though the lease row stands still.
+/// Holds although the lease row in the table is not renewed.
 #[test]
-fn successor_keeps_its_promise() {
-    let mut world = World::new(&["a", "b", "c"]);
-    let owner = world.owner("a");
-    let others = world.others(&owner);
+fn successor_does_not_take_over_after_granting_a_renewal() {
+    let mut cluster = Cluster::new(&["a", "b", "c"]);
+    let owner = cluster.owner("a");
+    let others = cluster.others(&owner);
     for _ in 0..15 {
-        let now = world.now;
+        let now = cluster.now;
         for name in &others {
-            world.entries.get_mut(name).expect("known").grant_renewal(now, &owner, 1);
+            cluster.entries.get_mut(name).expect("known").grant_renewal(now, &owner, 1);
         }
-        world.round_of(&others);
+        cluster.run_round_on(&others);
     }
-    assert_eq!(world.owner(others[0]), owner);
+    assert_eq!(cluster.owner(others[0]), owner);
 }
 
-/// Cut off from the table and from its successor, a home cannot know whether it was followed. It
-/// may lend only half.
+/// Guards against overspending by a home that cannot reach the table or its successor, and so cannot
+/// know of a takeover.
 #[test]
-fn unrenewed_home_lends_half() {
-    let mut world = World::new(&["a", "b", "c"]);
-    let owner = world.owner("a");
-    world.drain(&owner);
-    world.pass(LEASE);
-    world.drain(&owner);
-    world.pass(Duration::from_secs(2));
-    assert_eq!(world.drain(&owner), RATE);
+fn home_without_a_lease_lends_half() {
+    let mut cluster = Cluster::new(&["a", "b", "c"]);
+    let owner = cluster.owner("a");
+    cluster.borrow_all(&owner);
+    cluster.advance(LEASE);
+    cluster.borrow_all(&owner);
+    cluster.advance(Duration::from_secs(2));
+    assert_eq!(cluster.borrow_all(&owner), RATE);
 }
 
-/// An entry host is replaced: the same name, a new process, empty memory. Its old homes must not
-/// start full again.
+/// Guards against refilled buckets when a process restarts under the same name without its state.
 #[test]
-fn restarted_home_does_not_start_full() {
-    let mut world = World::new(&["a", "b", "c"]);
-    let owner = world.owner("a");
-    world.drain(&owner);
+fn restarted_home_does_not_start_with_full_buckets() {
+    let mut cluster = Cluster::new(&["a", "b", "c"]);
+    let owner = cluster.owner("a");
+    cluster.borrow_all(&owner);
     let name = ["a", "b", "c"].into_iter().find(|name| **name == *owner).expect("known");
-    world.start(name, 2);
-    (0..12).for_each(|_| world.round());
-    let next = world.owner("a");
-    let lent = world.drain(&next);
+    cluster.start(name, 2);
+    (0..12).for_each(|_| cluster.run_round());
+    let next = cluster.owner("a");
+    let lent = cluster.borrow_all(&next);
     assert!(lent <= BURST, "{lent}");
-    let since = 12 * RATE;
-    assert!(lent < since, "{lent} tokens: the wait for slices was not kept");
+    let inflow = 12 * RATE;
+    assert!(lent < inflow, "{lent} tokens lent without waiting for loans to expire");
 }
 
-/// The only entry is shut down and another comes in its place. Unless it hands over to whoever
-/// comes, its shutdown never ends, and the next one waits for a word that nobody gives.
+/// Guards against a shutdown that never ends because no other entry can receive the shards.
 #[test]
-fn last_entry_to_leave_hands_over_to_the_next_that_comes() {
-    let mut world = World::new(&["a"]);
-    world.drain("a");
-    world.entries.get_mut("a").expect("known").leave();
-    (0..2).for_each(|_| world.round());
-    assert!(world.entries["a"].is_empty());
-    world.entries.remove("a");
-    world.start("b", 1);
-    (0..3).for_each(|_| world.round());
-    assert_eq!(&*world.owner("b"), "b");
-    assert!(world.drain("b") <= 6 * RATE);
+fn last_entry_to_leave_hands_over_to_the_next_to_join() {
+    let mut cluster = Cluster::new(&["a"]);
+    cluster.borrow_all("a");
+    cluster.entries.get_mut("a").expect("known").leave();
+    (0..2).for_each(|_| cluster.run_round());
+    assert!(cluster.entries["a"].is_empty());
+    cluster.entries.remove("a");
+    cluster.start("b", 1);
+    (0..3).for_each(|_| cluster.run_round());
+    assert_eq!(&*cluster.owner("b"), "b");
+    assert!(cluster.borrow_all("b") <= 6 * RATE);
 }
 
-/// The only entry host dies for good and another one comes under a new name.
+/// The replacement joins under a new name.
 #[test]
-fn dead_lone_entry_is_followed_by_the_next_that_comes() {
-    let mut world = World::new(&["a"]);
-    world.entries.remove("a");
-    world.start("b", 1);
-    (0..16).for_each(|_| world.round());
-    assert_eq!(&*world.owner("b"), "b");
-    assert!((1..=BURST / 2).contains(&world.drain("b")), "half, until the old one is known to be gone");
+fn next_entry_to_join_takes_over_from_a_dead_lone_entry() {
+    let mut cluster = Cluster::new(&["a"]);
+    cluster.entries.remove("a");
+    cluster.start("b", 1);
+    (0..16).for_each(|_| cluster.run_round());
+    assert_eq!(&*cluster.owner("b"), "b");
+    assert!(
+        (1..=BURST / 2).contains(&cluster.borrow_all("b")),
+        "half the burst until the old entry is known to have terminated"
+    );
 }
