--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -1,9 +1,9 @@
-//! Rate and burst of a customer over the whole fleet.
+//! Fleet-wide rate limiting of customers by rate and burst.
 //!
 //! Each customer has one home among the entries. The home's [`Lender`] keeps the token bucket and
-//! lends slices with a term; each entry's [`Limiter`] spends only from the slice in hand. At every
-//! moment `level + lent <= burst`, so no window of length `t` sees more than
-//! `rate * t + burst` tokens spent, whatever is lost, repeated, delayed or paused.
+//! lends tokens for a limited term; the [`Limiter`] of each entry spends only borrowed tokens. As
+//! `level + outstanding <= burst` always holds, at most `rate * t + burst` tokens are spent in any
+//! window of length `t`, even if messages are lost, repeated or delayed, or processes are paused.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -13,141 +13,140 @@
 
 use crate::{clock::Time, id::Request, settings::Customer};
 
-const MICRO: u64 = 1_000_000;
+/// Microtokens per token, and microseconds per second.
+const MICROS: u64 = 1_000_000;
 
-/// How long a slice may be spent, counted by the borrower from when it asked.
+/// How long lent tokens may be spent, counted by the borrower from when it sent the request.
 pub const LOAN_TERM: Duration = Duration::from_secs(4);
-/// How much longer than the term the lender counts a slice as lent. The lender starts counting
-/// when it grants, which is never before the borrower asked, so any margin above zero covers
-/// rounding.
+/// Extra time after the term for which the lender keeps a loan. It covers rounding only: the lender
+/// counts from the grant, which is never earlier than the borrower's request.
 const LENDER_MARGIN: Duration = Duration::from_millis(50);
-/// Stands among the borrowers for the slices of the last home; no entry has an empty name.
-const LAST_HOME: &str = "";
-/// A borrower asks for as much as it spent in this span.
+/// Borrower name for tokens lent by the previous home; no entry has an empty name.
+const PREVIOUS_HOME: &str = "";
+/// A borrower requests as many spare tokens as it spends in this time.
 const LOOKAHEAD: Duration = Duration::from_millis(200);
-/// A borrower whose question got no answer asks again after this long.
-const ASK_TIMEOUT: Duration = Duration::from_millis(300);
-/// A borrower that was lent nothing waits at least this long before it asks again.
-const ASK_PAUSE: Duration = Duration::from_millis(20);
-/// A grant beyond what is needed at once is at most this part of what the bucket holds.
-const RESERVE: u64 = 8;
-/// Spending is measured over spans of this length.
-const MEASURED: Duration = Duration::from_millis(500);
-/// A borrower whose home cannot be reached waits this long before it asks again.
-const SILENT_PAUSE: Duration = Duration::from_millis(50);
-/// Unspent tokens are given back when the slice has this long to live and nothing was spent.
-const GIVE_BACK: Duration = Duration::from_millis(1_500);
-
-/// A token bucket; integer microtokens, so that nothing is lost to rounding.
+/// Time after which an unanswered request is sent again.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
+/// Minimum delay before the next request if nothing was lent.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Grants above the requested minimum are limited to the bucket level divided by this.
+const PREFETCH_DIVISOR: u64 = 8;
+/// Window over which the spend rate is computed.
+const SPEND_WINDOW: Duration = Duration::from_millis(500);
+/// Delay before the next request if the home could not be reached.
+const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Unspent tokens are returned to the home this long before they expire.
+const RETURN_BEFORE_EXPIRY: Duration = Duration::from_millis(1_500);
+
+/// A token bucket, counted in integer microtokens to avoid rounding losses.
 #[derive(Clone, Debug)]
 pub struct Bucket {
-    /// Tokens a second, which is microtokens a microsecond.
+    /// Tokens per second, equal to microtokens per microsecond.
     rate: u64,
-    /// Microtokens; `level <= cap` always.
-    cap: u64,
+    /// Microtokens; `level <= capacity` always holds.
+    capacity: u64,
     /// Microtokens.
     level: u64,
-    at: Time,
+    updated_at: Time,
 }
 
 impl Bucket {
-    /// A bucket holding `burst` tokens at `now`.
+    /// Creates a bucket with `burst` tokens at `now`.
     pub fn full(rate: u64, burst: u64, now: Time) -> Self {
-        let cap = burst.saturating_mul(MICRO);
-        Self { rate, cap, level: cap, at: now }
+        let capacity = burst.saturating_mul(MICROS);
+        Self { rate, capacity, level: capacity, updated_at: now }
     }
 
-    /// A bucket holding nothing at `now`.
+    /// Creates a bucket without tokens at `now`.
     pub fn empty(rate: u64, burst: u64, now: Time) -> Self {
         Self { level: 0, ..Self::full(rate, burst, now) }
     }
 
-    /// Adds what has flowed in since the last call, up to the cap less `lent` tokens.
+    /// Adds the inflow since the last call, up to the capacity minus `lent` tokens.
     fn refill(&mut self, now: Time, lent: u64) {
-        let inflow = crate::clock::micros(now.since(self.at)).saturating_mul(self.rate);
-        let room = self.cap.saturating_sub(lent.saturating_mul(MICRO));
+        let inflow = crate::clock::micros(now.since(self.updated_at)).saturating_mul(self.rate);
+        let room = self.capacity.saturating_sub(lent.saturating_mul(MICROS));
         self.level = self.level.saturating_add(inflow).min(room.max(self.level));
-        self.level = self.level.min(self.cap);
-        self.at = self.at.max(now);
+        self.level = self.level.min(self.capacity);
+        self.updated_at = self.updated_at.max(now);
     }
 
-    /// Takes `tokens` if they are there.
+    /// Takes `tokens` if the bucket holds that many.
     pub fn take(&mut self, now: Time, tokens: u64) -> Option<u64> {
         self.refill(now, 0);
-        let wanted = tokens.saturating_mul(MICRO);
+        let wanted = tokens.saturating_mul(MICROS);
         self.level = self.level.checked_sub(wanted)?;
         Some(tokens)
     }
 
-    /// Whole tokens there at `now`.
+    /// Returns the whole tokens in the bucket at `now`.
     pub fn level(&mut self, now: Time) -> u64 {
         self.refill(now, 0);
-        self.level / MICRO
+        self.level / MICROS
     }
 
-    /// How long until `tokens` are there; `None` if they never will be.
-    fn wait(&self, tokens: u64) -> Option<Duration> {
-        let wanted = tokens.saturating_mul(MICRO);
-        if wanted > self.cap || self.rate == 0 {
+    /// Returns the time until the bucket holds `tokens`, or `None` if it never will.
+    fn time_until(&self, tokens: u64) -> Option<Duration> {
+        let wanted = tokens.saturating_mul(MICROS);
+        if wanted > self.capacity || self.rate == 0 {
             return None;
         }
         Some(Duration::from_micros(wanted.saturating_sub(self.level).div_ceil(self.rate)))
     }
 }
 
-/// The share of a customer's rate that a lender may use.
+/// Fraction of a customer's rate and burst that a lender may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share(f64);
 
 impl Share {
-    /// All of it.
+    /// The full rate and burst.
     pub const WHOLE: Self = Self(1.0);
 
-    /// A share; clamped to between nothing and all.
+    /// Creates a share, clamped to between 0 and 1.
     pub fn new(part: f64) -> Self {
         Self(part.clamp(0.0, 1.0))
     }
 
-    /// Half of this share.
+    /// Returns half of this share.
     pub fn half(self) -> Self {
         Self(self.0 / 2.0)
     }
 
-    /// As a number between 0 and 1.
+    /// Returns the share as a number between 0 and 1.
     pub fn as_f64(self) -> f64 {
         self.0
     }
 
-    fn of(self, tokens: u64) -> u64 {
-        // A share of a token count is below 2^53 for any rate in use, so the float is exact enough;
-        // it is rounded down, never up.
+    fn apply(self, tokens: u64) -> u64 {
+        // Token counts are below 2^53, so the conversion is exact; the product is rounded down.
         (tokens as f64 * self.0) as u64
     }
 }
 
-/// A borrower's question to the home.
+/// Request for tokens from a borrower to the home.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoanRequest {
     /// Tokens wanted.
     pub tokens: u64,
-    /// Fewer than these are of no use.
+    /// Smallest grant that is useful to the borrower.
     pub minimum: u64,
-    /// Tokens the borrower still has from earlier slices; those before are spent or lost.
+    /// Tokens that the borrower still holds; the rest of its loan is spent or lost.
     pub unspent: u64,
-    /// Tokens given back: unspent ones, and what requests were charged but did not use.
+    /// Tokens returned: unspent ones, and those charged to requests that did not use them.
     pub refund: u64,
-    /// Counts the borrower's questions; a repeat gets the same grant, not another one.
+    /// Sequence number of the borrower. A repeated request gets the same grant again.
     pub serial: u64,
 }
 
-/// The home's reply.
+/// Reply of the home to a [`LoanRequest`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Grant {
     /// Tokens lent.
     pub tokens: u64,
-    /// How long they may be spent, counted from the question.
+    /// How long they may be spent, counted from when the request was sent.
     pub term: Duration,
-    /// When asking again makes sense, if nothing was lent; zero if something was.
+    /// Time until the minimum will be available if nothing was lent; zero otherwise.
     pub retry_after: Duration,
 }
 
@@ -155,16 +154,16 @@
 struct Loan {
     serial: u64,
     grant: Grant,
-    /// Tokens that may still be spent from this loan.
+    /// Tokens that the borrower may still spend.
     tokens: u64,
-    until: Time,
+    expires_at: Time,
 }
 
-/// The home's side of one customer.
+/// Token bucket of one customer at its home, with all outstanding loans.
 #[derive(Clone, Debug)]
 pub struct Lender {
     bucket: Bucket,
-    /// By borrower. The sum of their tokens and the bucket's level never exceeds the burst.
+    /// Loans by borrower. Their sum plus the bucket level never exceeds the burst.
     loans: BTreeMap<Arc<str>, Loan>,
     share: Share,
     rate: u64,
@@ -172,26 +171,26 @@
 }
 
 impl Lender {
-    /// A lender that starts with a full bucket; only for a customer nobody has lent for before.
+    /// Creates a lender with a full bucket, for a customer that has had no lender before.
     pub fn full(customer: &Customer, now: Time) -> Self {
-        Self::with(Bucket::full(customer.rate, customer.burst, now), customer)
+        Self::new(Bucket::full(customer.rate, customer.burst, now), customer)
     }
 
-    /// A lender that starts at `opens` with `level` tokens handed over by the last home, which has
-    /// `lent` more that may still be spent for one term.
-    pub fn with_level(customer: &Customer, level: u64, lent: u64, opens: Time) -> Self {
-        let mut bucket = Bucket::empty(customer.rate, customer.burst, opens);
-        bucket.level = level.saturating_mul(MICRO).min(bucket.cap);
-        let mut lender = Self::with(bucket, customer);
+    /// Creates a lender that starts at `lend_from` with `level` tokens. The previous home has lent
+    /// `lent` more, which may be spent for one more term.
+    pub fn with_level(customer: &Customer, level: u64, lent: u64, lend_from: Time) -> Self {
+        let mut bucket = Bucket::empty(customer.rate, customer.burst, lend_from);
+        bucket.level = level.saturating_mul(MICROS).min(bucket.capacity);
+        let mut lender = Self::new(bucket, customer);
         if lent > 0 {
-            let until = opens.plus(LOAN_TERM).plus(LENDER_MARGIN);
-            let last = Loan { serial: 0, grant: Grant::default(), tokens: lent, until };
-            lender.loans.insert(LAST_HOME.into(), last);
+            let expires_at = lend_from.plus(LOAN_TERM).plus(LENDER_MARGIN);
+            let previous = Loan { serial: 0, grant: Grant::default(), tokens: lent, expires_at };
+            lender.loans.insert(PREVIOUS_HOME.into(), previous);
         }
         lender
     }
 
-    fn with(bucket: Bucket, customer: &Customer) -> Self {
+    fn new(bucket: Bucket, customer: &Customer) -> Self {
         Self {
             bucket,
             loans: BTreeMap::new(),
@@ -201,236 +200,233 @@
         }
     }
 
-    /// Puts a new rate, burst or share in force; the level only ever shrinks by this.
+    /// Applies a new rate, burst or share. This never raises the level.
     pub fn adjust(&mut self, customer: &Customer, share: Share, now: Time) {
         if (self.rate, self.burst) == (customer.rate, customer.burst) && self.share == share {
             return;
         }
         self.bucket.refill(now, self.outstanding());
         (self.rate, self.burst, self.share) = (customer.rate, customer.burst, share);
-        self.bucket.rate = share.of(customer.rate);
-        self.bucket.cap = share.of(customer.burst).saturating_mul(MICRO);
-        self.bucket.level = self.bucket.level.min(self.bucket.cap);
+        self.bucket.rate = share.apply(customer.rate);
+        self.bucket.capacity = share.apply(customer.burst).saturating_mul(MICROS);
+        self.bucket.level = self.bucket.level.min(self.bucket.capacity);
     }
 
-    /// Tokens lent and not known to be spent or given back.
+    /// Returns the tokens on loan that are not known to be spent or returned.
     pub fn outstanding(&self) -> u64 {
-        self.loans.values().map(|lent| lent.tokens).sum()
+        self.loans.values().map(|loan| loan.tokens).sum()
     }
 
-    /// Whole tokens in the bucket.
+    /// Returns the whole tokens in the bucket.
     pub fn level(&mut self, now: Time) -> u64 {
-        self.settle(now);
-        self.bucket.level / MICRO
+        self.expire_loans(now);
+        self.bucket.level / MICROS
     }
 
-    /// Forgets loans whose term is over. Their tokens count as spent: the bucket is never
-    /// refilled by guess.
-    fn settle(&mut self, now: Time) {
-        self.loans.retain(|_, lent| lent.until > now);
+    /// Removes expired loans and refills the bucket. Tokens of expired loans count as spent.
+    fn expire_loans(&mut self, now: Time) {
+        self.loans.retain(|_, loan| loan.expires_at > now);
         let outstanding = self.outstanding();
         self.bucket.refill(now, outstanding);
     }
 
-    /// Answers a borrower.
-    pub fn lend(&mut self, now: Time, borrower: &Arc<str>, loan: LoanRequest) -> Grant {
-        self.settle(now);
-        if let Some(last) = self.loans.get(borrower) {
-            if loan.serial == last.serial {
-                return last.grant;
+    /// Answers a loan request.
+    pub fn lend(&mut self, now: Time, borrower: &Arc<str>, request: LoanRequest) -> Grant {
+        self.expire_loans(now);
+        if let Some(loan) = self.loans.get(borrower) {
+            if request.serial == loan.serial {
+                return loan.grant;
             }
-            // An older question overtaken on the way: the borrower no longer waits for its answer.
-            if loan.serial < last.serial {
+            // A reordered older request: the borrower ignores replies to it.
+            if request.serial < loan.serial {
                 return Grant::default();
             }
         }
-        let before = self.loans.get(borrower).map_or(0, |lent| lent.tokens);
-        let kept = loan.unspent.min(before);
+        let on_loan = self.loans.get(borrower).map_or(0, |loan| loan.tokens);
+        let kept = request.unspent.min(on_loan);
         self.loans.remove(borrower);
-        self.refund(loan.refund, kept);
-        let grant = self.grant(loan);
-        let lent = Loan {
-            serial: loan.serial,
+        self.refund(request.refund, kept);
+        let grant = self.grant(request);
+        let loan = Loan {
+            serial: request.serial,
             grant,
             tokens: kept + grant.tokens,
-            until: now.plus(LOAN_TERM).plus(LENDER_MARGIN),
+            expires_at: now.plus(LOAN_TERM).plus(LENDER_MARGIN),
         };
-        self.loans.insert(borrower.clone(), lent);
+        self.loans.insert(borrower.clone(), loan);
         grant
     }
 
     fn refund(&mut self, tokens: u64, kept: u64) {
-        let lent = self.outstanding().saturating_add(kept).saturating_mul(MICRO);
-        let room = self.bucket.cap.saturating_sub(lent).saturating_sub(self.bucket.level);
-        self.bucket.level += tokens.saturating_mul(MICRO).min(room);
+        let on_loan = self.outstanding().saturating_add(kept).saturating_mul(MICROS);
+        let room = self.bucket.capacity.saturating_sub(on_loan).saturating_sub(self.bucket.level);
+        self.bucket.level += tokens.saturating_mul(MICROS).min(room);
     }
 
-    fn grant(&mut self, loan: LoanRequest) -> Grant {
-        let available = self.bucket.level / MICRO;
-        if loan.minimum > available {
-            // What can never be saved up for (above the burst) is told to come back after a term.
-            let retry_after = self.bucket.wait(loan.minimum).unwrap_or(LOAN_TERM);
+    fn grant(&mut self, request: LoanRequest) -> Grant {
+        let available = self.bucket.level / MICROS;
+        if request.minimum > available {
+            // A minimum above the burst never becomes available; the borrower retries after a term.
+            let retry_after = self.bucket.time_until(request.minimum).unwrap_or(LOAN_TERM);
             return Grant { tokens: 0, term: LOAN_TERM, retry_after };
         }
-        // What is asked for ahead of need comes from plenty only: near the end of the bucket,
-        // tokens in one entry's hand would be missing at another.
-        let tokens = loan.tokens.min((available / RESERVE).max(loan.minimum));
-        self.bucket.level -= tokens * MICRO;
+        // Limits prefetching when the bucket is low, as other entries may need the tokens at once.
+        let tokens = request.tokens.min((available / PREFETCH_DIVISOR).max(request.minimum));
+        self.bucket.level -= tokens * MICROS;
         Grant { tokens, term: LOAN_TERM, retry_after: Duration::ZERO }
     }
 }
 
-/// A request that waits for tokens.
+/// A request waiting for tokens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Waiter {
     /// The request.
     pub request: Request,
-    /// Tokens it costs.
+    /// Tokens that the request costs.
     pub cost: u64,
-    /// It is refused if it still waits then.
+    /// Time at which the request is refused if it has not been admitted.
     pub deadline: Time,
 }
 
-/// What became of a request that asked for tokens.
+/// Result of the admission of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Paid; it may run.
+    /// The tokens are spent and the request may run.
     Admitted(Request),
-    /// Not within the rate; come back after the span.
+    /// The customer is over its rate; the caller may retry after the duration.
     OverRate(Request, Duration),
-    /// The home could not be reached in time.
+    /// The home could not be reached before the deadline.
     HomeUnreachable(Request),
 }
 
-/// An entry's side of one customer: the slice in hand and the requests that wait for more.
+/// Rate limiter of one customer at one entry: the borrowed tokens and the requests waiting for more.
 #[derive(Clone, Debug, Default)]
 pub struct Limiter {
-    /// Tokens that may be spent before `until`.
-    hand: u64,
-    until: Time,
-    /// Charged but unused tokens to give back with the next question.
+    /// Tokens that may be spent before `expires_at`.
+    tokens: u64,
+    expires_at: Time,
+    /// Charged but unused tokens, to be returned with the next request to the home.
     refund: u64,
     waiters: VecDeque<Waiter>,
     serial: u64,
-    /// When the question now open was asked; its serial is `serial`.
-    asked: Option<Time>,
-    /// Not before then does another question make sense.
-    ask_after: Time,
-    /// Why the last question failed, if it did.
-    silent: bool,
-    /// Tokens spent since `spent_since`, to size the next slice.
+    /// When the pending request `serial` was sent; `None` if there is none.
+    sent_at: Option<Time>,
+    /// Earliest time of the next request.
+    retry_at: Time,
+    /// Whether the last request failed to reach the home.
+    home_unreachable: bool,
+    /// Tokens spent since `window_start`.
     spent: u64,
-    spent_since: Time,
-    /// Tokens a second seen lately.
-    pace: u64,
+    window_start: Time,
+    /// Moving average of tokens spent per second.
+    spend_rate: u64,
 }
 
 impl Limiter {
-    /// An empty limiter. Its serials start at `now`, so that a limiter that was dropped and made again
-    /// never repeats one.
+    /// Creates a limiter without tokens. Serials start at `now`, so that a limiter that is dropped and
+    /// created again never reuses one.
     pub fn new(now: Time) -> Self {
         Self { serial: now.as_micros(), ..Self::default() }
     }
 
-    /// Admits a request if the slice in hand pays for it, else lets it wait.
+    /// Admits a request at once if enough tokens are available; otherwise it waits.
     pub fn admit(&mut self, now: Time, waiter: Waiter) -> Option<Admission> {
-        self.expire(now);
-        if self.waiters.is_empty() && self.spend(waiter.cost) {
+        self.expire_tokens(now);
+        if self.waiters.is_empty() && self.try_spend(waiter.cost) {
             return Some(Admission::Admitted(waiter.request));
         }
         self.waiters.push_back(waiter);
         None
     }
 
-    fn spend(&mut self, cost: u64) -> bool {
-        let Some(rest) = self.hand.checked_sub(cost) else { return false };
-        self.hand = rest;
+    fn try_spend(&mut self, cost: u64) -> bool {
+        let Some(rest) = self.tokens.checked_sub(cost) else { return false };
+        self.tokens = rest;
         self.spent += cost;
         true
     }
 
-    /// A paused process may wake after the term: a slice is checked again before every spend.
-    fn expire(&mut self, now: Time) {
-        if now >= self.until {
-            self.hand = 0;
+    /// Drops expired tokens. Called before every spend, as the process may have been paused.
+    fn expire_tokens(&mut self, now: Time) {
+        if now >= self.expires_at {
+            self.tokens = 0;
         }
     }
 
-    /// Takes back what a finished request was charged but did not use.
+    /// Records tokens that a finished request was charged but did not use.
     pub fn refund(&mut self, now: Time, tokens: u64) {
-        self.expire(now);
+        self.expire_tokens(now);
         self.refund = self.refund.saturating_add(tokens);
     }
 
-    /// Withdraws a waiting request whose caller has left.
+    /// Removes a waiting request whose caller has disconnected.
     pub fn cancel(&mut self, request: Request) {
         self.waiters.retain(|waiter| waiter.request != request);
     }
 
-    /// The question to ask the home now, if one makes sense.
+    /// Returns the request to send to the home now, if one is due.
     pub fn request_tokens(&mut self, now: Time) -> Option<LoanRequest> {
-        self.expire(now);
-        self.measure(now);
-        if self.asked.is_some_and(|asked| now.since(asked) < ASK_TIMEOUT) || now < self.ask_after {
+        self.expire_tokens(now);
+        self.update_spend_rate(now);
+        if self.sent_at.is_some_and(|sent_at| now.since(sent_at) < REQUEST_TIMEOUT) || now < self.retry_at {
             return None;
         }
-        let ahead = self.pace.saturating_mul(crate::clock::micros(LOOKAHEAD)) / MICRO;
-        let waiting: u64 = self.waiters.iter().map(|waiter| waiter.cost).sum();
-        let low = self.hand < ahead / 2;
-        let stale = self.until.since(now) < GIVE_BACK && self.hand > 0;
-        if self.waiters.is_empty() && !low && !stale && self.refund == 0 {
+        let prefetch = self.spend_rate.saturating_mul(crate::clock::micros(LOOKAHEAD)) / MICROS;
+        let queued: u64 = self.waiters.iter().map(|waiter| waiter.cost).sum();
+        let runs_low = self.tokens < prefetch / 2;
+        let expires_soon = self.expires_at.since(now) < RETURN_BEFORE_EXPIRY && self.tokens > 0;
+        if self.waiters.is_empty() && !runs_low && !expires_soon && self.refund == 0 {
             return None;
         }
-        // A hand too small for the next request is worth more at the home, where it adds up with
-        // those of other entries, than kept here while the request is refused.
-        let given_back = if low && waiting == 0 { 0 } else { std::mem::take(&mut self.hand) };
-        let idle = waiting == 0 && !low;
+        // Returns tokens that do not cover the next waiter, so that the home can lend them elsewhere.
+        let returned = if runs_low && queued == 0 { 0 } else { std::mem::take(&mut self.tokens) };
+        let is_idle = queued == 0 && !runs_low;
         self.serial += 1;
-        self.asked = Some(now);
+        self.sent_at = Some(now);
         Some(LoanRequest {
-            tokens: if idle { 0 } else { (waiting + ahead).saturating_sub(self.hand) },
+            tokens: if is_idle { 0 } else { (queued + prefetch).saturating_sub(self.tokens) },
             minimum: self.waiters.front().map_or(0, |waiter| waiter.cost),
-            unspent: self.hand,
-            refund: std::mem::take(&mut self.refund) + given_back,
+            unspent: self.tokens,
+            refund: std::mem::take(&mut self.refund) + returned,
             serial: self.serial,
         })
     }
 
-    fn measure(&mut self, now: Time) {
-        let span = now.since(self.spent_since);
-        if span < MEASURED {
+    fn update_spend_rate(&mut self, now: Time) {
+        let span = now.since(self.window_start);
+        if span < SPEND_WINDOW {
             return;
         }
-        let pace = self.spent.saturating_mul(MICRO) / crate::clock::micros(span).max(1);
-        self.pace = (self.pace + pace) / 2;
-        (self.spent, self.spent_since) = (0, now);
+        let spend_rate = self.spent.saturating_mul(MICROS) / crate::clock::micros(span).max(1);
+        self.spend_rate = (self.spend_rate + spend_rate) / 2;
+        (self.spent, self.window_start) = (0, now);
     }
 
-    /// Takes the home's reply to question `serial`; a late reply to an older one is dropped, its
-    /// tokens are lost.
+    /// Handles the home's reply to request `serial`, and admits or refuses waiters. A late reply to
+    /// an older request is dropped, and its tokens are lost.
     pub fn receive_grant(&mut self, now: Time, serial: u64, grant: Grant) -> Vec<Admission> {
-        let Some(asked) = self.asked.filter(|_| serial == self.serial) else { return Vec::new() };
-        self.asked = None;
-        self.silent = false;
-        self.expire(now);
-        let until = asked.plus(grant.term);
-        if now < until {
-            self.hand += grant.tokens;
-            self.until = until;
+        let Some(sent_at) = self.sent_at.filter(|_| serial == self.serial) else { return Vec::new() };
+        self.sent_at = None;
+        self.home_unreachable = false;
+        self.expire_tokens(now);
+        let expires_at = sent_at.plus(grant.term);
+        if now < expires_at {
+            self.tokens += grant.tokens;
+            self.expires_at = expires_at;
         }
         if grant.tokens == 0 {
-            self.ask_after = now.plus(grant.retry_after.max(ASK_PAUSE));
+            self.retry_at = now.plus(grant.retry_after.max(MIN_RETRY_DELAY));
         }
-        let mut admissions = self.serve();
-        admissions.extend(self.refuse(now, grant.retry_after));
+        let mut admissions = self.admit_waiters();
+        admissions.extend(self.refuse_late_waiters(now, grant.retry_after));
         admissions
     }
 
-    fn serve(&mut self) -> Vec<Admission> {
+    fn admit_waiters(&mut self) -> Vec<Admission> {
         let mut admissions = Vec::new();
         while let Some(front) = self.waiters.front() {
             let cost = front.cost;
-            if !self.spend(cost) {
+            if !self.try_spend(cost) {
                 break;
             }
             admissions.extend(self.waiters.pop_front().map(|waiter| Admission::Admitted(waiter.request)));
@@ -438,9 +434,8 @@
         admissions
     }
 
-    /// Refuses at once those that the next tokens would reach too late: a caller that will be
-    /// refused hears it now, with the time to come back.
-    fn refuse(&mut self, now: Time, retry_after: Duration) -> Vec<Admission> {
+    /// Refuses waiters whose deadline is before the next tokens arrive.
+    fn refuse_late_waiters(&mut self, now: Time, retry_after: Duration) -> Vec<Admission> {
         let next = now.plus(retry_after);
         let (late, rest): (VecDeque<_>, _) =
             self.waiters.drain(..).partition(|waiter| waiter.deadline < next);
@@ -448,50 +443,52 @@
         late.into_iter().map(|waiter| Admission::OverRate(waiter.request, retry_after)).collect()
     }
 
-    /// Notes that the home could not be reached.
+    /// Records that request `serial` did not reach the home.
     pub fn record_failure(&mut self, now: Time, serial: u64) {
         if serial == self.serial {
-            self.asked = None;
-            self.silent = true;
-            self.ask_after = now.plus(SILENT_PAUSE);
+            self.sent_at = None;
+            self.home_unreachable = true;
+            self.retry_at = now.plus(UNREACHABLE_RETRY_DELAY);
         }
     }
 
-    /// Refuses those that waited too long.
+    /// Refuses waiters whose deadline has passed.
     pub fn expire_waiters(&mut self, now: Time) -> Vec<Admission> {
-        let silent = self.silent || self.asked.is_some();
+        let home_unreachable = self.home_unreachable || self.sent_at.is_some();
         let (late, rest): (VecDeque<_>, _) =
             self.waiters.drain(..).partition(|waiter| waiter.deadline <= now);
         self.waiters = rest;
-        let retry_after = self.ask_after.since(now).max(ASK_TIMEOUT);
-        let admission = |waiter: Waiter| match silent {
+        let retry_after = self.retry_at.since(now).max(REQUEST_TIMEOUT);
+        let admission = |waiter: Waiter| match home_unreachable {
             true => Admission::HomeUnreachable(waiter.request),
             false => Admission::OverRate(waiter.request, retry_after),
         };
         late.into_iter().map(admission).collect()
     }
 
-    /// Whether nothing is in hand, asked or waiting, so that the limiter may be dropped.
+    /// Returns whether the limiter has no tokens, waiters or pending requests and may be dropped.
     pub fn is_idle(&self, now: Time) -> bool {
-        let empty = self.hand == 0 || now >= self.until;
-        empty && self.waiters.is_empty() && self.refund == 0 && self.asked.is_none()
+        let empty = self.tokens == 0 || now >= self.expires_at;
+        empty && self.waiters.is_empty() && self.refund == 0 && self.sent_at.is_none()
     }
 
-    /// Tokens in hand at `now`.
+    /// Returns the tokens that may be spent at `now`.
     pub fn available(&self, now: Time) -> u64 {
-        if now < self.until { self.hand } else { 0 }
+        if now < self.expires_at { self.tokens } else { 0 }
     }
 
-    /// When the limiter wants attention again, if nothing else happens before.
+    /// Returns when the limiter next needs to send a request, refuse a waiter or return tokens.
     pub fn next_wakeup(&self) -> Option<Time> {
-        let overdue = self.waiters.iter().map(|waiter| waiter.deadline).min();
-        let ask = match (self.asked, self.waiters.is_empty() && self.refund == 0) {
-            (Some(asked), _) => Some(asked.plus(ASK_TIMEOUT)),
-            (None, false) => Some(self.ask_after),
+        let next_deadline = self.waiters.iter().map(|waiter| waiter.deadline).min();
+        let next_request = match (self.sent_at, self.waiters.is_empty() && self.refund == 0) {
+            (Some(sent_at), _) => Some(sent_at.plus(REQUEST_TIMEOUT)),
+            (None, false) => Some(self.retry_at),
             (None, true) => None,
         };
-        let stale = Time::from_micros(self.until.as_micros().saturating_sub(crate::clock::micros(GIVE_BACK)));
-        let give_back = (self.hand > 0).then_some(stale);
-        [overdue, ask, give_back].into_iter().flatten().min()
+        let return_at = Time::from_micros(
+            self.expires_at.as_micros().saturating_sub(crate::clock::micros(RETURN_BEFORE_EXPIRY)),
+        );
+        let next_return = (self.tokens > 0).then_some(return_at);
+        [next_deadline, next_request, next_return].into_iter().flatten().min()
     }
 }
--- a/crates/core/tests/home.rs
+++ b/crates/core/tests/home.rs
@@ -106,7 +106,7 @@
     }
 
     /// Requests tokens from `name` as a new borrower; `None` if it is not the home.
-    fn lend(&mut self, name: &str, tokens: u64) -> Option<u64> {
+    fn borrow(&mut self, name: &str, tokens: u64) -> Option<u64> {
         self.serial += 1;
         let request = LoanRequest { tokens, minimum: 1, unspent: 0, refund: 0, serial: self.serial };
         let home = self.entries.get_mut(name)?;
@@ -119,7 +119,7 @@
     /// Borrows from `name` until it lends nothing more, and returns the sum.
     fn borrow_all(&mut self, name: &str) -> u64 {
         let mut sum = 0;
-        while let Some(tokens) = self.lend(name, BURST).filter(|tokens| *tokens > 0) {
+        while let Some(tokens) = self.borrow(name, BURST).filter(|tokens| *tokens > 0) {
             sum += tokens;
         }
         sum
@@ -168,7 +168,7 @@
     }
     assert!(waited >= LEASE, "taken over before the lease expired");
     let next = cluster.owner(others[0]);
-    assert_eq!(cluster.lend(&next, 1), Some(0));
+    assert_eq!(cluster.borrow(&next, 1), Some(0));
     cluster.advance(LOAN_TERM);
     (0..2).for_each(|_| cluster.run_round_on(&others));
     let lent = cluster.borrow_all(&next);
@@ -205,7 +205,7 @@
     (0..14).for_each(|_| cluster.run_round_on(&others));
     let home = cluster.entries.get_mut(&*owner).expect("known");
     cluster.table.read(cluster.now, home);
-    assert_eq!(cluster.lend(&owner, 1), None);
+    assert_eq!(cluster.borrow(&owner, 1), None);
 }
 
 /// The home lends its full share while its successor renews the lease.
