--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -1,8 +1,8 @@
-//! Calls that may not be repeated.
+//! Calls with an idempotency key, which are dispatched at most once.
 //!
-//! A record in the table stands between a caller's idempotency key and the plain service: it is
-//! inserted before the one dispatch and completed after. Every uncertain write is settled by
-//! reading it back and comparing tokens, never by writing again blindly.
+//! A record per key is inserted into the table before the call is dispatched and completed after
+//! it. If the result of a write is unknown, the record is read back and its token compared; it is
+//! never written again unconditionally.
 
 use std::sync::Arc;
 
@@ -13,64 +13,65 @@
     refusal::{Code, Refusal},
 };
 
-/// Prefix of the records' rows.
+/// Key prefix of the record rows.
 pub const PREFIX: &str = "once/";
 
 /// The stored record of one call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
-    /// Digest of method, path and body, so that a key cannot be used for another call.
+    /// Digest of the call, so that the key cannot be reused for a different call.
     pub digest: Arc<str>,
-    /// The request that wrote the record; tells one's own write from another's.
+    /// Request that wrote the record; identifies the writer after a write of unknown result.
     pub token: Request,
-    /// How far the call is.
+    /// Progress of the call.
     pub state: State,
 }
 
-/// How far a call is.
+/// Progress of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// The call may have been dispatched.
+    /// The call may have been dispatched; no outcome is recorded yet.
     Started,
-    /// It was dispatched and answered.
+    /// The call was dispatched and answered.
     Answered {
         /// HTTP status of the answer.
         status: u16,
         /// Body of the answer.
         body: String,
     },
-    /// It was never dispatched and never will be: a tombstone under a record whose write was lost.
+    /// The call was not executed and its key may be used again. Also written as a tombstone that makes
+    /// a lost write of `Started` fail.
     Abandoned,
-    /// It was dispatched and its outcome cannot be known.
+    /// The call was dispatched, but its outcome is unknown.
     Unknown,
 }
 
-/// The row of a call: keys belong to their customer.
+/// Returns the row key of a call. Idempotency keys are scoped to the customer.
 pub fn row_key(customer: &str, idempotency_key: &str) -> String {
     format!("{PREFIX}{customer}/{}", crate::settings::digest(idempotency_key))
 }
 
-/// What to do about a call, given the record found under its key.
+/// Next action for a call, given the record under its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// The record is ours: dispatch, once.
+    /// Dispatch the call: this request wrote the record.
     Dispatch,
-    /// Give the recorded answer.
+    /// Return the recorded answer.
     Replay {
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// Body.
+        /// Body of the answer.
         body: String,
     },
-    /// Take the abandoned record over, by compare-and-set, then look again.
+    /// Replace the abandoned record by compare-and-set, then decide again.
     Reclaim,
-    /// Refuse.
+    /// Refuse the call.
     Refuse(Refusal),
 }
 
-/// Decides what follows from the record `found` for a call of `digest` by `token`.
+/// Decides how request `token` proceeds with the call `digest`, given the record `found`.
 pub fn decide(found: &Record, digest: &str, token: Request) -> Action {
     if &*found.digest != digest {
         return Action::Refuse(Refusal::not_run(
@@ -80,8 +81,8 @@
     }
     match &found.state {
         State::Started if found.token == token => Action::Dispatch,
-        // Another request wrote the record. It may have dispatched, be about to, or have died in
-        // between: nothing proves that the call did not run, so this one never sends it again.
+        // The request that wrote the record may have dispatched the call, even if it has since
+        // failed, so the call is never sent again.
         State::Started => Action::Refuse(Refusal::run(
             Code::InProgress,
             "a call under this idempotency key has started and its outcome is not recorded",
@@ -92,7 +93,7 @@
     }
 }
 
-/// The refusal for a call whose outcome cannot be known.
+/// Returns the refusal for a call with unknown outcome.
 pub fn refuse_unknown_outcome() -> Refusal {
     Refusal::run(
         Code::OutcomeUnknown,
@@ -100,18 +101,19 @@
     )
 }
 
-/// What to do after a write of `Started` whose answer was lost, from what a read back found.
+/// Result of a write of `Started` whose reply was lost, as found by reading the record back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// Our write took effect.
+    /// The write was applied.
     Applied,
-    /// Another's record stands there; decide by [`decide`].
+    /// Another request's record was found; pass it to [`decide`].
     Conflict,
-    /// Nothing stands there, but our write may still land: put a tombstone there first.
+    /// No record was found, but the write may still be applied later. A tombstone must be written
+    /// before the call can be reported as not run.
     Missing,
 }
 
-/// Settles a lost answer.
+/// Resolves a write whose reply was lost.
 pub fn resolve_write(found: Option<&Record>, token: Request) -> WriteOutcome {
     match found {
         Some(record) if record.token == token => WriteOutcome::Applied,
