--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -1,8 +1,8 @@
-//! How old a process's settings may be, and when it must stop serving by them.
+//! Age of a process's settings, and when they are too stale to serve requests.
 //!
-//! Guards against an entry that is cut off and goes on honouring a withdrawn key. Settings are
-//! accepted by entries only. So an entry may serve on while the table is down for everyone it
-//! hears of, provided it hears of every other entry; what it cannot bound, it does not serve.
+//! Guards against an isolated entry that keeps accepting a withdrawn key. Only entries can change
+//! settings. During a table outage an entry may therefore keep serving as long as it receives
+//! heartbeats from all other entries; otherwise it stops once its settings are too old.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,89 +12,89 @@
 
 use crate::{clock::Time, message::Beat};
 
-/// Settings confirmed longer ago than this are not served by, unless all peers vouch.
+/// Maximum age of the settings, unless recent heartbeats from all entries were received.
 pub const MAX_AGE: Duration = Duration::from_secs(8);
 
-/// Knowing that others have a newer version, a process serves by its own no longer than this: the
-/// table is asked at once, and an answer takes milliseconds.
+/// Maximum time to keep serving after a peer has reported a newer version.
 const MAX_BEHIND: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug)]
 struct PeerVersion {
-    at: Time,
+    received_at: Time,
     version: u64,
 }
 
-/// What a process knows of its settings' age.
+/// Freshness of a process's settings.
 #[derive(Clone, Debug, Default)]
 pub struct Freshness {
     version: u64,
-    /// When the table is known to have had `version` as its newest.
-    confirmed: Option<Time>,
+    /// Last time at which `version` is known to have been the newest in the table.
+    confirmed_at: Option<Time>,
     peers: BTreeMap<Arc<str>, PeerVersion>,
-    /// Since when a newer version is known to be in force elsewhere.
-    behind: Option<Time>,
+    /// Since when a peer is known to have a newer version.
+    behind_since: Option<Time>,
 }
 
 impl Freshness {
-    /// Notes a read of the table begun at `began` that found `version`.
+    /// Records a table read that began at `began` and found `version`.
     pub fn record_read(&mut self, began: Time, version: u64) {
-        self.adopt(version);
+        self.update_version(version);
         if version == self.version {
-            self.confirmed = self.confirmed.max(Some(began));
+            self.confirmed_at = self.confirmed_at.max(Some(began));
         }
     }
 
-    /// Notes that `version` is in force here.
-    fn adopt(&mut self, version: u64) {
+    fn update_version(&mut self, version: u64) {
         if version > self.version {
             self.version = version;
-            self.confirmed = None;
-            self.behind = self.behind.filter(|_| self.newest_peer_version() > version);
+            self.confirmed_at = None;
+            self.behind_since = self.behind_since.filter(|_| self.newest_peer_version() > version);
         }
     }
 
-    /// Takes a heartbeat. A peer's confirmation counts for us if its version is ours: the table
-    /// had no newer one then.
+    /// Records a heartbeat. If the peer has the same version, its confirmation applies here as well.
     pub fn record_heartbeat(&mut self, now: Time, peer: &Arc<str>, beat: &Beat) {
-        self.peers.insert(peer.clone(), PeerVersion { at: now, version: beat.version });
+        self.peers.insert(peer.clone(), PeerVersion { received_at: now, version: beat.version });
         if beat.version > self.version {
-            self.behind = self.behind.or(Some(now));
+            self.behind_since = self.behind_since.or(Some(now));
         }
         if beat.version == self.version && beat.age <= MAX_AGE {
             let at = Time::from_micros(now.as_micros().saturating_sub(crate::clock::micros(beat.age)));
-            self.confirmed = self.confirmed.max(Some(at));
+            self.confirmed_at = self.confirmed_at.max(Some(at));
         }
     }
 
-    /// How long ago the version in force was known to be the newest.
+    /// Returns the time since the current version was last known to be the newest; `Duration::MAX`
+    /// if it was never confirmed.
     pub fn age(&self, now: Time) -> Duration {
-        self.confirmed.map_or(Duration::MAX, |at| now.since(at))
+        self.confirmed_at.map_or(Duration::MAX, |at| now.since(at))
     }
 
-    /// The newest version that any peer has in force.
+    /// Returns the newest version that any peer has reported.
     pub fn newest_peer_version(&self) -> u64 {
         self.peers.values().map(|peer| peer.version).max().unwrap_or(0)
     }
 
-    /// Whether an entry may serve by its settings, given the other entries known.
+    /// Returns whether an entry may serve requests, given all other known entries.
     pub fn may_serve(&self, now: Time, entries: &BTreeSet<Arc<str>>) -> bool {
-        let behind = self.behind.is_some_and(|since| now.since(since) > MAX_BEHIND);
-        if self.version == 0 || behind {
+        let is_too_far_behind = self.behind_since.is_some_and(|since| now.since(since) > MAX_BEHIND);
+        if self.version == 0 || is_too_far_behind {
             return false;
         }
         if self.age(now) <= MAX_AGE {
             return true;
         }
-        entries.iter().all(|entry| self.peers.get(entry).is_some_and(|peer| now.since(peer.at) <= MAX_AGE))
+        entries
+            .iter()
+            .all(|entry| self.peers.get(entry).is_some_and(|peer| now.since(peer.received_at) <= MAX_AGE))
     }
 
-    /// Peers not known to have `version` in force.
+    /// Returns the peers whose last reported version is older than `version`.
     pub fn peers_behind(&self, version: u64) -> Vec<Arc<str>> {
         self.peers.iter().filter(|(_, peer)| peer.version < version).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Forgets a peer that is no longer there.
+    /// Removes a peer that has left.
     pub fn remove_peer(&mut self, peer: &str) {
         self.peers.remove(peer);
     }
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! When an entry must stop serving by its settings.
+//! When an entry must stop serving because its settings may be stale.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -21,24 +21,22 @@
 }
 
 #[test]
-fn fresh_process_serves_nobody() {
+fn process_without_settings_does_not_serve() {
     assert!(!Freshness::default().may_serve(at(0), &BTreeSet::new()));
 }
 
-/// One entry is cut off from the table and from all others. A key is withdrawn through another
-/// entry; this one would go on honouring it for ever.
+/// Guards against an isolated entry that keeps accepting a key withdrawn through another entry.
 #[test]
-fn entry_cut_off_from_all_stops_serving() {
+fn isolated_entry_stops_serving() {
     let mut freshness = Freshness::default();
     freshness.record_read(at(0), 3);
     assert!(freshness.may_serve(at(8), &entries()));
     assert!(!freshness.may_serve(at(9), &entries()));
 }
 
-/// The table is down for everyone for long. No entry can accept a change, so entries that hear one
-/// another go on serving.
+/// No entry can change settings while the table is down, so stale settings are still the newest.
 #[test]
-fn entries_that_hear_all_others_serve_through_an_outage() {
+fn entry_with_heartbeats_from_all_others_serves_during_a_table_outage() {
     let mut freshness = Freshness::default();
     freshness.record_read(at(0), 3);
     for second in 1..600 {
@@ -48,18 +46,18 @@
     assert!(freshness.may_serve(at(600), &entries()));
 }
 
-/// As above, but one entry is silent. It may reach the table and accept a change.
+/// The entry without heartbeats may be able to reach the table and change settings.
 #[test]
-fn one_silent_entry_in_an_outage_stops_serving() {
+fn entry_stops_serving_in_an_outage_if_one_other_sends_no_heartbeats() {
     let mut freshness = Freshness::default();
     freshness.record_read(at(0), 3);
     (1..60).for_each(|second| freshness.record_heartbeat(at(second), &"b".into(), &beat(3, second)));
     assert!(!freshness.may_serve(at(60), &entries()));
 }
 
-/// An entry that cannot reach the table itself is vouched for by a peer or agent that can.
+/// An entry that cannot reach the table relies on a peer or agent that can.
 #[test]
-fn word_of_a_peer_with_the_same_version_counts() {
+fn heartbeat_with_the_same_version_confirms_the_settings() {
     let mut freshness = Freshness::default();
     freshness.record_read(at(0), 3);
     freshness.record_heartbeat(at(20), &"agent 1".into(), &beat(3, 1));
@@ -67,20 +65,20 @@
     assert!(freshness.may_serve(at(20), &entries()));
 }
 
-/// A process is paused with a confirmed version and wakes up after a key was withdrawn. It must
-/// notice before its first request, not at the next poll.
+/// Guards against a process that resumes after a pause and serves with stale settings until the next
+/// poll.
 #[test]
-fn paused_process_notices_on_waking() {
+fn resumed_process_does_not_serve_before_it_reads_the_table() {
     let mut freshness = Freshness::default();
     freshness.record_read(at(0), 3);
-    let woken = at(0).plus(MAX_AGE).plus(Duration::from_secs(60));
-    assert!(!freshness.may_serve(woken, &entries()));
-    freshness.record_read(woken, 3);
-    assert!(freshness.may_serve(woken, &entries()));
+    let resumed = at(0).plus(MAX_AGE).plus(Duration::from_secs(60));
+    assert!(!freshness.may_serve(resumed, &entries()));
+    freshness.record_read(resumed, 3);
+    assert!(freshness.may_serve(resumed, &entries()));
 }
 
 #[test]
-fn known_newer_version_must_be_in_force_within_seconds() {
+fn entry_that_knows_of_a_newer_version_stops_serving_until_it_has_it() {
     let mut freshness = Freshness::default();
     freshness.record_read(at(0), 3);
     freshness.record_heartbeat(at(1), &"b".into(), &beat(4, 0));
@@ -90,9 +88,9 @@
     assert!(freshness.may_serve(at(4), &entries()));
 }
 
-/// A read of the table that was overtaken tells an older version; it confirms nothing.
+/// A reordered table read with an older version must not refresh the age.
 #[test]
-fn overtaken_read_confirms_nothing() {
+fn read_of_an_older_version_confirms_nothing() {
     let mut freshness = Freshness::default();
     freshness.record_read(at(0), 4);
     freshness.record_read(at(50), 3);
