--- a/crates/core/src/home.rs
+++ b/crates/core/src/home.rs
@@ -2,10 +2,10 @@
 //!
 //! Customers are hashed into [`SHARDS`] shards. The table holds one row per shard (owner, epoch,
 //! successor) and one lease row per entry. An owner whose lease is renewed, by the table or by its
-//! successors, lends its full share; without a lease it lends half. A takeover without a handover
-//! waits until the lease and all loans have expired, starts with empty buckets, and gets half the
-//! share until the previous owner is known to have terminated. The shares of all entries that lend
-//! for a shard therefore never add up to more than one.
+//! successors, lends its full share; without a lease it lends half of it. A takeover without a
+//! handover waits until the lease and all loans have expired, starts with empty buckets, and gets
+//! half the share until the previous owner is known to have terminated. The shares of all entries
+//! that lend for a shard therefore never add up to more than one.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -70,7 +70,7 @@
     pub successor: Arc<str>,
     /// Fraction of the customers' rates that the owner may lend.
     pub share: f64,
-    /// Previous owners, with their incarnations, that may still be running. The share is restored to
+    /// Incarnations of previous owners that may still be running, by name. The share is restored to
     /// one when there are none.
     pub parted: BTreeMap<Arc<str>, u64>,
     /// Bucket levels that the owner starts with.
@@ -138,7 +138,7 @@
     /// Nothing is lent before this time, as loans of the previous owner may still be spent.
     lend_from: Time,
     lenders: BTreeMap<Arc<str>, Lender>,
-    /// When the shard was offered to another entry; nothing is lent after that.
+    /// When the shard was offered to another entry. Nothing is lent while the offer is pending.
     offered_at: Option<Time>,
 }
 
@@ -343,7 +343,7 @@
         Ok(lender.lend(now, borrower, request))
     }
 
-    /// Returns the writes that move the shards towards their preferred owners. Empty without a lease.
+    /// Returns the writes that claim, maintain or hand over shards. Empty without a lease.
     pub fn plan_writes(&mut self, now: Time, settings: &Snapshot) -> Vec<Write> {
         if !self.has_lease(now) {
             return Vec::new();
@@ -456,7 +456,8 @@
         let is_first = ranked.first() == Some(&self.name);
         let is_successor = match live.contains(&row.successor) {
             true => row.successor == self.name,
-            // Without a successor, only the table can have renewed the owner's lease, so it now lends half.
+            // Without a successor, only the table can have renewed the owner's lease, so that it now
+            // lends half.
             false if row.successor.is_empty() => is_first,
             // Both leases have expired in the table, but the two may still renew each other behind a
             // network partition. A third entry takes over only if both hosts are listed as removed.
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -25,7 +25,7 @@
 const PREVIOUS_HOME: &str = "";
 /// A borrower requests as many spare tokens as it spends in this time.
 const LOOKAHEAD: Duration = Duration::from_millis(200);
-/// Time after which an unanswered request is sent again.
+/// Time after which a new request replaces an unanswered one.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 /// Minimum delay before the next request if nothing was lent.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -378,7 +378,8 @@
         if self.waiters.is_empty() && !runs_low && !expires_soon && self.refund == 0 {
             return None;
         }
-        // Returns tokens that do not cover the next waiter, so that the home can lend them elsewhere.
+        // Tokens that do not cover the next waiter are returned, so that the home can combine them
+        // with tokens from other entries.
         let returned = if runs_low && queued == 0 { 0 } else { std::mem::take(&mut self.tokens) };
         let is_idle = queued == 0 && !runs_low;
         self.serial += 1;
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -127,7 +127,7 @@
     pub generation: u64,
 }
 
-/// Tokens in one piece, the unit in which engines allocate KV cache.
+/// Tokens in one piece, the unit in which engines account for KV cache.
 pub const PIECE_TOKENS: u32 = 4_000;
 
 /// Returns the pieces needed for `tokens` tokens of context.
--- a/crates/core/tests/home.rs
+++ b/crates/core/tests/home.rs
@@ -153,7 +153,7 @@
     assert!(level <= 3 * RATE, "{level} tokens, more than the inflow of three seconds");
 }
 
-/// Guards against lending tokens twice after a crash: the dead home's loans may still be spent.
+/// Guards against lending tokens twice after a crash: the crashed home's loans may still be spent.
 #[test]
 fn takeover_waits_for_lease_and_loans_to_expire() {
     let mut cluster = Cluster::new(&["a", "b", "c"]);
@@ -287,7 +287,7 @@
 
 /// The replacement joins under a new name.
 #[test]
-fn next_entry_to_join_takes_over_from_a_dead_lone_entry() {
+fn next_entry_to_join_takes_over_from_a_crashed_lone_entry() {
     let mut cluster = Cluster::new(&["a"]);
     cluster.entries.remove("a");
     cluster.start("b", 1);
