--- a/crates/daemon/src/entry/stages.rs
+++ b/crates/daemon/src/entry/stages.rs
@@ -15,8 +15,8 @@
 
 use tarragonhill_core::{
     Code, Refusal, Request, Time,
-    quota::{Verdict, Waiter},
-    settings::{Key, Running},
+    quota::{Admission, Waiter},
+    settings::{Key, WithdrawalPolicy},
 };
 
 use crate::entry::context::Context;
@@ -46,7 +46,7 @@
     context.check_serving()?;
     let key = authorization.and_then(|value| value.strip_prefix("Bearer "));
     let key = key.ok_or_else(|| bad_key("a key must be sent as bearer token"))?;
-    context.current.get().identify(key).ok_or_else(|| bad_key("the key is unknown or withdrawn"))
+    context.current.get().authenticate(key).ok_or_else(|| bad_key("the key is unknown or withdrawn"))
 }
 
 fn bad_key(message: &str) -> Refusal {
@@ -70,7 +70,7 @@
         return false;
     }
     let key = settings.keys.values().find(|key| key.id == ticket.key.id);
-    key.is_none_or(|key| key.running == Running::Cut)
+    key.is_none_or(|key| key.running == WithdrawalPolicy::Cut)
 }
 
 /// Tokens charged for a request, given back unless they are used.
@@ -125,18 +125,18 @@
         unused: cost,
         admitted: false,
     };
-    let until = context.clock.now().plus(context.rate_wait);
-    let waiter = Waiter { request: ticket.request, cost, until };
+    let deadline = context.clock.now().plus(context.rate_wait);
+    let waiter = Waiter { request: ticket.request, cost, deadline };
     match context.control.admit(&customer, waiter).await {
-        Some(Verdict::Admitted(_)) => {
+        Some(Admission::Admitted(_)) => {
             charge.admitted = true;
             Ok(charge)
         }
-        Some(Verdict::OverRate(_, span)) => {
+        Some(Admission::OverRate(_, span)) => {
             Err(Refusal::not_run(Code::OverRate, "the customer has spent its rate and burst")
                 .retry_after(span))
         }
-        Some(Verdict::HomeSilent(_)) | None => {
+        Some(Admission::HomeUnreachable(_)) | None => {
             let message = "the home of the customer's rate cannot be reached";
             Err(Refusal::not_run(Code::QuotaUnavailable, message).retry_after(context.rate_wait))
         }
