--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -272,7 +272,10 @@
     /// Admits a request and charges its customer.
     pub fn admit(&mut self, now: Time, admission: &Admission) -> Result<(), Refusal> {
         if self.suspects.is_refused(now, admission.fingerprint) {
-            return Err(Refusal::not_run(Code::Quarantined, "this request has crashed endpoints"));
+            return Err(Refusal::not_run(
+                Code::Quarantined,
+                "the request is quarantined because it crashed endpoints",
+            ));
         }
         if let Some(customer) = &admission.customer
             && let Err(wait) = self.rate_limiter.spend(now, &customer.name, admission.tokens)
@@ -280,7 +283,8 @@
             let left = self.rate_limiter.tokens_left_for(&customer.name);
             let Customer { name, rate, burst, .. } = &**customer;
             let asked = admission.tokens;
-            let message = format!("{name} has {left} tokens left, asked {asked}; rate {rate}, burst {burst}");
+            let message =
+                format!("{name} asked for {asked} tokens and has {left} left; rate {rate}, burst {burst}");
             return Err(Refusal::not_run(Code::OverRate, message).retry_after(wait));
         }
         self.budget.record_request(now, &admission.service);
@@ -295,7 +299,7 @@
     }
 
     /// Takes a retry from the retry budget; returns false if none is left.
-    pub fn acquire_retry(&mut self, now: Time, service: &Arc<str>) -> bool {
+    pub fn retry(&mut self, now: Time, service: &Arc<str>) -> bool {
         self.budget.try_spend(now, service, self.peers.count())
     }
 
@@ -429,7 +433,7 @@
     /// Summarizes queue and decode pool of a service on one line, for refusals.
     pub fn describe(&self, now: Time, service: &str) -> String {
         let waiting = self.queue.len();
-        format!("{waiting} wait; {}", self.view(now).describe(service, Stage::Decode))
+        format!("{waiting} requests queued; {}", self.view(now).describe(service, Stage::Decode))
     }
 
     /// Removes queued requests whose callers are gone.
@@ -572,5 +576,5 @@
 }
 
 fn no_endpoint() -> Refusal {
-    Refusal::not_run(Code::NoEndpoint, "no endpoint can be reached").retry_after(ENDPOINT_RETRY_AFTER)
+    Refusal::not_run(Code::NoEndpoint, "no endpoint is available").retry_after(ENDPOINT_RETRY_AFTER)
 }
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -180,7 +180,7 @@
         match command {
             Command::Admit(admission, reply) => drop(reply.try_send(self.state.admit(now, &admission))),
             Command::GiveBack(admission) => self.state.refund(&admission),
-            Command::Retry(service, reply) => drop(reply.try_send(self.state.acquire_retry(now, &service))),
+            Command::Retry(service, reply) => drop(reply.try_send(self.state.retry(now, &service))),
             Command::IsSplit(service, reply) => drop(reply.try_send(self.state.is_split(now, &service))),
             Command::Whole(service, avoid, reply) => {
                 let place = self.state.place_whole(now, &service, &avoid);
