--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -272,10 +272,7 @@
     /// Admits a request and charges its customer.
     pub fn admit(&mut self, now: Time, admission: &Admission) -> Result<(), Refusal> {
         if self.suspects.is_refused(now, admission.fingerprint) {
-            return Err(Refusal::not_run(
-                Code::Quarantined,
-                "the request is quarantined because it crashed endpoints",
-            ));
+            return Err(Refusal::not_run(Code::Quarantined, "the request has crashed endpoints"));
         }
         if let Some(customer) = &admission.customer
             && let Err(wait) = self.rate_limiter.spend(now, &customer.name, admission.tokens)
@@ -433,7 +430,7 @@
     /// Summarizes queue and decode pool of a service on one line, for refusals.
     pub fn describe(&self, now: Time, service: &str) -> String {
         let waiting = self.queue.len();
-        format!("{waiting} requests queued; {}", self.view(now).describe(service, Stage::Decode))
+        format!("{waiting} wait; {}", self.view(now).describe(service, Stage::Decode))
     }
 
     /// Removes queued requests whose callers are gone.
