--- a/crates/core/src/gateway/digest.rs
+++ b/crates/core/src/gateway/digest.rs
@@ -24,7 +24,7 @@
     /// Memory reserved for them, in tokens.
     pub memory: u64,
     /// Prompt tokens sent for prefill and not answered yet.
-    pub reading: u64,
+    pub prefill_tokens: u64,
     /// Expected memory of its runs over time.
     pub growth: Growth,
 }
--- a/crates/core/src/gateway/load.rs
+++ b/crates/core/src/gateway/load.rs
@@ -75,7 +75,8 @@
         fresh.fold(self.local, |sum, (at, share)| Share {
             running: sum.running + share.running,
             memory: sum.memory + share.memory,
-            reading: sum.reading + if now.since(*at) < PREFILL_STALE { share.reading } else { 0 },
+            prefill_tokens: sum.prefill_tokens
+                + if now.since(*at) < PREFILL_STALE { share.prefill_tokens } else { 0 },
             growth: sum.growth + share.growth,
         })
     }
@@ -96,7 +97,7 @@
     /// Returns whether a decode endpoint may start a local prefill: none is in flight, and its runs
     /// had time to progress since the last one.
     pub fn is_ready_for_prefill(&self, now: Time) -> bool {
-        self.prefill_ready_at <= now && self.total(now).reading == 0
+        self.prefill_ready_at <= now && self.total(now).prefill_tokens == 0
     }
 
     /// Returns whether the endpoint refused a run for lack of memory a moment ago.
@@ -119,7 +120,7 @@
 impl Lease {
     /// Removes the prompt from the lease once it has been processed.
     pub fn clear_prefill(&mut self) {
-        self.share.reading = 0;
+        self.share.prefill_tokens = 0;
     }
 }
 
@@ -149,7 +150,7 @@
         let load = self.0.entry(endpoint.clone()).or_default();
         load.local.running += share.running;
         load.local.memory += share.memory;
-        load.local.reading += share.reading;
+        load.local.prefill_tokens += share.prefill_tokens;
         let number = load.health.record_start(now);
         if share.memory > 0 {
             load.runs.insert(number, Run { memory: share.memory, output, generated: 0 });
@@ -163,8 +164,8 @@
     /// gets no other for `pause`.
     pub fn record_first_event(&mut self, now: Time, lease: &Lease, pause: Duration) {
         if let Some(load) = self.0.get_mut(&lease.endpoint) {
-            load.local.reading = load.local.reading.saturating_sub(lease.share.reading);
-            if lease.share.reading > 0 {
+            load.local.prefill_tokens = load.local.prefill_tokens.saturating_sub(lease.share.prefill_tokens);
+            if lease.share.prefill_tokens > 0 {
                 load.prefill_ready_at = now.plus(pause);
             }
             load.health.record_end(now, lease.number, Outcome::Answered(now.since(lease.sent_at)));
@@ -185,7 +186,7 @@
         let Some(load) = self.0.get_mut(&lease.endpoint) else { return };
         load.local.running = load.local.running.saturating_sub(lease.share.running);
         load.local.memory = load.local.memory.saturating_sub(lease.share.memory);
-        load.local.reading = load.local.reading.saturating_sub(lease.share.reading);
+        load.local.prefill_tokens = load.local.prefill_tokens.saturating_sub(lease.share.prefill_tokens);
         load.health.record_end(now, lease.number, outcome);
         if load.runs.remove(&lease.number).is_some() {
             load.update_growth();
--- a/crates/core/src/gateway/placement.rs
+++ b/crates/core/src/gateway/placement.rs
@@ -174,7 +174,7 @@
     /// Returns the time until an endpoint's backlog is processed, without and with `prompt` further
     /// tokens.
     fn prefill_times(&self, endpoint: &Endpoint, prompt: u64) -> (Duration, Duration) {
-        let ahead = self.load(endpoint).map_or(0, |load| load.total(self.now).reading);
+        let ahead = self.load(endpoint).map_or(0, |load| load.total(self.now).prefill_tokens);
         let forecast = self.forecasts.endpoint(self.now, &endpoint.service, &endpoint.id);
         let busy = if ahead == 0 { Duration::ZERO } else { forecast.prefill_time(ahead) };
         (busy, forecast.prefill_time(ahead + prompt))
--- a/crates/core/src/gateway/pools.rs
+++ b/crates/core/src/gateway/pools.rs
@@ -241,6 +241,6 @@
 fn pending_work(now: Time, loads: &Loads, endpoint: &Endpoint) -> u64 {
     loads.get(&endpoint.id).map_or(0, |load| {
         let total = load.total(now);
-        total.reading + total.memory
+        total.prefill_tokens + total.memory
     })
 }
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -420,8 +420,8 @@
             avoid,
         };
         let Placement { endpoint, prefill } = self.view(now).pair(service, &engine, &run)?;
-        let reading = if prefill.is_some() { 0 } else { size.prompt };
-        let share = Share { running: 1, memory: *memory, reading, ..Share::default() };
+        let prefill_tokens = if prefill.is_some() { 0 } else { size.prompt };
+        let share = Share { running: 1, memory: *memory, prefill_tokens, ..Share::default() };
         let decode = self.assign(now, endpoint, share, Some(Estimate { size: *size, spread }));
         let prefill = prefill.map(|prefill| self.assign_prefill(now, prefill, size.prompt, *ttft_target));
         Some(Pair { decode, prefill })
@@ -563,11 +563,11 @@
         prompt: u64,
         ttft_target: Duration,
     ) -> Assignment {
-        let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.total(now).reading);
+        let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.total(now).prefill_tokens);
         let forecast = self.forecasts.endpoint(now, &endpoint.service, &endpoint.id);
         let tokens = ahead + prompt;
         let limit = forecast.prefill_timeout(tokens, ttft_target);
-        let share = Share { reading: prompt, ..Share::default() };
+        let share = Share { prefill_tokens: prompt, ..Share::default() };
         Assignment { tokens, limit, ..self.assign(now, endpoint, share, None) }
     }
 }
--- a/crates/core/tests/gateway/placement.rs
+++ b/crates/core/tests/gateway/placement.rs
@@ -57,7 +57,7 @@
 }
 
 fn share_of(memory: u64) -> Share {
-    Share { running: 1, memory, reading: 0, growth: Growth::flat(memory) }
+    Share { running: 1, memory, prefill_tokens: 0, growth: Growth::flat(memory) }
 }
 
 #[test]
@@ -109,8 +109,8 @@
     let place =
         |loads: &Loads| id_of(view(&directory, loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &[]));
     assert_eq!(place(&loads), Some("p-1".into()));
-    let reading = Share { reading: 8_000, ..Share::default() };
-    loads.acquire(at(0), &"p-1".into(), reading);
+    let prefill = Share { prefill_tokens: 8_000, ..Share::default() };
+    loads.acquire(at(0), &"p-1".into(), prefill);
     assert_eq!(place(&loads), Some("p-2".into()));
 }
 
@@ -186,7 +186,7 @@
     while let Prefill::Endpoint(found) =
         view(&directory, &loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &[])
     {
-        loads.acquire(at(0), &found.id, Share { reading: 5_000, ..Share::default() });
+        loads.acquire(at(0), &found.id, Share { prefill_tokens: 5_000, ..Share::default() });
         placed += 1;
     }
     assert_eq!(placed, 5);
@@ -202,8 +202,8 @@
 fn prompts_of_a_silent_replica_stop_counting_before_its_runs() {
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), endpoint("d-1", Stage::Decode)]);
     let mut loads = Loads::default();
-    let reading = Share { reading: 30_000, ..Share::default() };
-    let shares = [("p-1".into(), reading), ("d-1".into(), share_of(30_000))].into();
+    let prefill = Share { prefill_tokens: 30_000, ..Share::default() };
+    let shares = [("p-1".into(), prefill), ("d-1".into(), share_of(30_000))].into();
     loads.merge_digest(at(0), &Digest { name: "frozen".into(), shares, ..Digest::default() });
     assert_eq!(
         view(&directory, &loads, 500).prefill("drafting", 5_000, TARGET, "zone-a", &[]),
@@ -226,9 +226,9 @@
 fn a_prefill_endpoint_with_a_stalled_prompt_gets_no_more() {
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), endpoint("p-2", Stage::Prefill)]);
     let mut loads = Loads::default();
-    let reading = |tokens| Share { reading: tokens, ..Share::default() };
-    loads.acquire(at(0), &"p-1".into(), reading(2_000));
-    loads.acquire(at(900), &"p-2".into(), reading(8_000));
+    let prefill = |tokens| Share { prefill_tokens: tokens, ..Share::default() };
+    loads.acquire(at(0), &"p-1".into(), prefill(2_000));
+    loads.acquire(at(900), &"p-2".into(), prefill(8_000));
     let place = |loads: &Loads, now| {
         id_of(view(&directory, loads, now).prefill("drafting", 5_000, TARGET, "zone-a", &[]))
     };
@@ -245,10 +245,11 @@
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), endpoint("p-2", Stage::Prefill)]);
     let mut loads = Loads::default();
     for now in [0, 10] {
-        let lease = loads.acquire(at(now), &"p-1".into(), Share { reading: 5_000, ..Share::default() });
+        let lease =
+            loads.acquire(at(now), &"p-1".into(), Share { prefill_tokens: 5_000, ..Share::default() });
         loads.release(at(now), &lease, Outcome::ReservationRejected);
     }
-    loads.acquire(at(20), &"p-2".into(), Share { reading: 8_000, ..Share::default() });
+    loads.acquire(at(20), &"p-2".into(), Share { prefill_tokens: 8_000, ..Share::default() });
     let place = |now| id_of(view(&directory, &loads, now).prefill("drafting", 5_000, TARGET, "zone-a", &[]));
     assert_eq!(place(30), Some("p-2".into()));
     assert_eq!(place(300), Some("p-1".into()));
@@ -266,7 +267,7 @@
             .collect(),
     );
     let mut loads = Loads::default();
-    loads.acquire(at(0), &"p-1".into(), Share { reading: 30_000, ..Share::default() });
+    loads.acquire(at(0), &"p-1".into(), Share { prefill_tokens: 30_000, ..Share::default() });
     let run = Run { gap: Duration::from_millis(300), ..run_of(5_000, 0) };
     let selected = |index| {
         let partition = Partition { index, count: 3 };
@@ -288,8 +289,8 @@
 fn a_decode_endpoint_pauses_between_two_prefills() {
     let directory = directory(vec![endpoint("d-1", Stage::Decode), endpoint("p-1", Stage::Prefill)]);
     let mut loads = Loads::default();
-    loads.acquire(at(0), &"p-1".into(), Share { reading: 30_000, ..Share::default() });
-    let lease = loads.acquire(at(0), &"d-1".into(), Share { reading: 5_000, ..share_of(5_000) });
+    loads.acquire(at(0), &"p-1".into(), Share { prefill_tokens: 30_000, ..Share::default() });
+    let lease = loads.acquire(at(0), &"d-1".into(), Share { prefill_tokens: 5_000, ..share_of(5_000) });
     let run = Run { gap: Duration::from_millis(300), ..run_of(5_000, 0) };
     let is_placed =
         |loads: &Loads, now| view(&directory, loads, now).pair("drafting", &engine(), &run).is_some();
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -111,7 +111,7 @@
     lease.clear_prefill();
     assert_eq!(state.dispatch(at(350)).len(), 1);
     state.record_end(at(3_000), &lease, Outcome::Abandoned);
-    assert_eq!(state.loads().get("d-1").map(|load| load.local.reading), Some(4_000));
+    assert_eq!(state.loads().get("d-1").map(|load| load.local.prefill_tokens), Some(4_000));
 }
 
 /// Guards against a long prefill on a decode endpoint that stalls its other runs.
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -269,7 +269,7 @@
                 serde_json::json!({
                     "id": endpoint.id, "service": endpoint.service, "zone": endpoint.zone,
                     "stage": endpoint.stage.to_string(), "leaving": endpoint.is_draining,
-                    "running": all.running, "memory": all.memory, "reading": all.reading,
+                    "running": all.running, "memory": all.memory, "reading": all.prefill_tokens,
                     "failing": load.map(|load| load.health.failure_ratio(now)),
                 })
             })
--- a/crates/wire/src/digest.rs
+++ b/crates/wire/src/digest.rs
@@ -33,7 +33,7 @@
                 endpoint: endpoint.to_string(),
                 running: share.running,
                 memory: share.memory,
-                reading: share.reading,
+                reading: share.prefill_tokens,
                 failing: digest.failure_permille.get(endpoint).copied().unwrap_or(0).into(),
                 growth: share.growth.0.to_vec(),
             }
@@ -121,7 +121,7 @@
             let taken = Share {
                 running: share.running,
                 memory: share.memory,
-                reading: share.reading,
+                prefill_tokens: share.reading,
                 growth: growth(&share),
             };
             if taken != Share::default() {
