--- a/crates/core/src/gateway/catalog.rs
+++ b/crates/core/src/gateway/catalog.rs
@@ -67,11 +67,11 @@
         }
     }
 
-    /// Returns the service for a request, in proportion to the weights; `draw` is a uniform random
+    /// Returns the service for a request, in proportion to the weights; `random` is a uniformly distributed
     /// number.
-    pub fn pick_service(&self, draw: u32) -> &Arc<str> {
+    pub fn pick_service(&self, random: u32) -> &Arc<str> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
-        let mut left = u64::from(draw) % total.max(1);
+        let mut left = u64::from(random) % total.max(1);
         for target in &self.targets {
             let weight = u64::from(target.weight);
             if left < weight {
--- a/crates/core/src/gateway/rate_limit.rs
+++ b/crates/core/src/gateway/rate_limit.rs
@@ -143,8 +143,8 @@
     /// silence. The first total of a peer only sets the baseline.
     fn apply_total(&mut self, peer: &Arc<str>, incarnation: u64, spent: u64) {
         let usage = self.peers.entry(peer.clone()).or_insert(PeerUsage { incarnation, spent, charged: 0 });
-        let before = if usage.incarnation == incarnation { usage.spent } else { 0 };
-        let newly_spent = signed(spent.saturating_sub(before)) * MICROTOKENS_PER_TOKEN;
+        let previous = if usage.incarnation == incarnation { usage.spent } else { 0 };
+        let newly_spent = signed(spent.saturating_sub(previous)) * MICROTOKENS_PER_TOKEN;
         let credited = std::mem::replace(usage, PeerUsage { incarnation, spent, charged: 0 }).charged;
         self.level = (self.level - newly_spent + credited).clamp(-self.burst, self.burst);
     }
@@ -202,9 +202,9 @@
 
     /// Applies the customers of a new configuration; known customers keep their levels.
     pub fn update_customers<'a>(&mut self, now: Time, customers: impl Iterator<Item = &'a Arc<Customer>>) {
-        let mut before = std::mem::take(&mut self.accounts);
+        let mut previous = std::mem::take(&mut self.accounts);
         for customer in customers.filter(|customer| customer.rate > 0) {
-            let account = before.remove(&customer.name);
+            let account = previous.remove(&customer.name);
             let mut account = account.unwrap_or_else(|| Account::new(customer, now));
             account.refill(now);
             account.adjust(customer);
@@ -295,20 +295,20 @@
 
     fn next_customers(&mut self) -> BTreeSet<Arc<str>> {
         let cursor = self.cursor.clone();
-        let behind = self.accounts.range::<str, _>((Bound::Excluded(&*cursor), Bound::Unbounded));
-        let before = self.accounts.range::<str, _>((Bound::Unbounded, Bound::Included(&*cursor)));
-        let in_order = behind.chain(before).map(|(name, _)| (name, true));
-        let urgent = self.unreported.iter().map(|name| (name, false));
-        let (mut names, mut room) = (BTreeSet::new(), MAX_TOTALS_BYTES);
+        let after_cursor = self.accounts.range::<str, _>((Bound::Excluded(&*cursor), Bound::Unbounded));
+        let up_to_cursor = self.accounts.range::<str, _>((Bound::Unbounded, Bound::Included(&*cursor)));
+        let rotation = after_cursor.chain(up_to_cursor).map(|(name, _)| (name, true));
+        let unreported = self.unreported.iter().map(|name| (name, false));
+        let (mut names, mut remaining_bytes) = (BTreeSet::new(), MAX_TOTALS_BYTES);
         let mut last = cursor.clone();
-        for (name, is_in_order) in urgent.chain(in_order) {
+        for (name, is_rotation) in unreported.chain(rotation) {
             if names.contains(name) {
                 continue;
             }
-            let Some(left) = room.checked_sub(name.len() + TOTALS_OVERHEAD_BYTES) else { break };
-            room = left;
+            let Some(left) = remaining_bytes.checked_sub(name.len() + TOTALS_OVERHEAD_BYTES) else { break };
+            remaining_bytes = left;
             names.insert(name.clone());
-            if is_in_order {
+            if is_rotation {
                 last = name.clone();
             }
         }
--- a/crates/core/tests/gateway/catalog.rs
+++ b/crates/core/tests/gateway/catalog.rs
@@ -44,7 +44,7 @@
     let mut split = route("/a/", Kind::Idempotent);
     split.targets =
         vec![Target { service: "one".into(), weight: 90 }, Target { service: "two".into(), weight: 10 }];
-    let to_two = (0..1_000).filter(|draw| &**split.pick_service(*draw) == "two").count();
+    let to_two = (0..1_000).filter(|random| &**split.pick_service(*random) == "two").count();
     assert_eq!(to_two, 100);
 }
 
