--- a/crates/core/src/gateway/catalog.rs
+++ b/crates/core/src/gateway/catalog.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Returns the service for a request, in proportion to the weights; `random` is a uniformly distributed
-    /// number.
+    /// Returns the service for a request, in proportion to the weights; `random` is a uniformly
+    /// distributed number.
     pub fn pick_service(&self, random: u32) -> &Arc<str> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
         let mut left = u64::from(random) % total.max(1);
