--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -19,7 +19,7 @@
     },
     clock::Time,
     id::Attempt,
-    message::{Breakage, Event, Load, Order, Work},
+    message::{Event, FailureCause, Load, Order, Work},
     refusal::Code,
     settings::{Endpoint, Role, Running, Snapshot},
 };
@@ -79,7 +79,7 @@
         body: Vec<u8>,
     },
     /// It broke off.
-    Failed(Breakage),
+    Failed(FailureCause),
     /// It was aborted and the engine has let go of it.
     Aborted,
 }
@@ -341,7 +341,7 @@
             Outcome::Prefilled { source, kv, lives } => Event::Prefilled { attempt, source, kv, lives },
             Outcome::Decoded { total } => Event::Ended { attempt, total },
             Outcome::Answered { status, body } => Event::Answered { attempt, status, body },
-            Outcome::Failed(cause) => Event::Broken { attempt, cause },
+            Outcome::Failed(cause) => Event::Failed { attempt, cause },
             Outcome::Aborted => return,
         };
         if !active.aborted {
--- a/crates/core/src/agent/lane.rs
+++ b/crates/core/src/agent/lane.rs
@@ -14,7 +14,7 @@
     clock::{Time, micros},
     id::Attempt,
     memory::{Hold, Ledger},
-    message::{Breakage, Event, Work},
+    message::{Event, FailureCause, Work},
     refusal::Code,
     settings::{Endpoint, Role, pieces},
 };
@@ -291,7 +291,7 @@
             let attempt = import.work.attempt;
             self.ledger.release(attempt);
             self.holders.remove(&attempt);
-            actions.push(Action::Send(import.link, Event::Broken { attempt, cause: Breakage::Evicted }));
+            actions.push(Action::Send(import.link, Event::Failed { attempt, cause: FailureCause::Evicted }));
         }
     }
 
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -139,11 +139,11 @@
         total: u32,
     },
     /// Work that had started broke off.
-    Broken {
+    Failed {
         /// The attempt.
         attempt: Attempt,
         /// What happened.
-        cause: Breakage,
+        cause: FailureCause,
     },
     /// A plain service answered.
     Answered {
@@ -167,7 +167,7 @@
             | Self::Prefilled { attempt, .. }
             | Self::Tokens { attempt, .. }
             | Self::Ended { attempt, .. }
-            | Self::Broken { attempt, .. }
+            | Self::Failed { attempt, .. }
             | Self::Answered { attempt, .. } => Some(*attempt),
             Self::Beat(_) => None,
         }
@@ -177,7 +177,7 @@
 /// How started work broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
-pub enum Breakage {
+pub enum FailureCause {
     /// The engine's connection closed or its process died while the work ran.
     Crashed,
     /// The prefill result was gone before it could be transferred.
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -5,7 +5,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use crate::message::Breakage;
+use crate::message::FailureCause;
 
 /// Retries earned with each success.
 const EARNED: f64 = 0.2;
@@ -42,7 +42,13 @@
 
     /// Whether a request that broke off at `endpoint` on its `number`th try may be tried again;
     /// pays for it if so.
-    pub fn spend(&mut self, customer: &Arc<str>, endpoint: &Arc<str>, number: u32, cause: Breakage) -> bool {
+    pub fn spend(
+        &mut self,
+        customer: &Arc<str>,
+        endpoint: &Arc<str>,
+        number: u32,
+        cause: FailureCause,
+    ) -> bool {
         if number >= TRIES || !is_retryable(cause) {
             return false;
         }
@@ -67,10 +73,12 @@
     }
 }
 
-fn is_retryable(cause: Breakage) -> bool {
+fn is_retryable(cause: FailureCause) -> bool {
     match cause {
-        Breakage::Crashed | Breakage::Evicted | Breakage::Stalled | Breakage::LinkLost => true,
-        Breakage::Failed => false,
+        FailureCause::Crashed | FailureCause::Evicted | FailureCause::Stalled | FailureCause::LinkLost => {
+            true
+        }
+        FailureCause::Failed => false,
     }
 }
 
--- a/crates/core/tests/agent.rs
+++ b/crates/core/tests/agent.rs
@@ -5,7 +5,7 @@
 use tarragonhill_core::{
     Attempt, Code, Request, Time,
     agent::{Action, Input, Link, Outcome, State},
-    message::{Breakage, Event, Order, Work},
+    message::{Event, FailureCause, Order, Work},
     settings::{Customer, Endpoint, Key, Role, Row, Running, Snapshot},
 };
 
@@ -260,10 +260,10 @@
     let mut state = agent();
     state.step(at(0), hold(1));
     state.step(at(0), decode(1));
-    let actions = state.step(at(10), finished(1, "decode", Outcome::Failed(Breakage::Crashed)));
+    let actions = state.step(at(10), finished(1, "decode", Outcome::Failed(FailureCause::Crashed)));
     assert_eq!(
         actions,
-        [Action::Send(LINK, Event::Broken { attempt: attempt(1), cause: Breakage::Crashed })]
+        [Action::Send(LINK, Event::Failed { attempt: attempt(1), cause: FailureCause::Crashed })]
     );
     assert!(state.is_idle());
 }
--- a/crates/daemon/src/agent/metrics.rs
+++ b/crates/daemon/src/agent/metrics.rs
@@ -52,7 +52,7 @@
             }
             Event::Prefilled { .. } => "prefilled",
             Event::Ended { .. } => "ended",
-            Event::Broken { .. } => "broken",
+            Event::Failed { .. } => "broken",
             Event::Answered { .. } => "answered",
             Event::Tokens { .. } | Event::Beat(_) => return,
         };
--- a/crates/daemon/src/agent/work.rs
+++ b/crates/daemon/src/agent/work.rs
@@ -12,7 +12,7 @@
 use tarragonhill_core::{
     Attempt,
     agent::{Call, Input, Outcome},
-    message::{Breakage, Event, Work},
+    message::{Event, FailureCause, Work},
     settings::{Endpoint, Snapshot},
 };
 use tarragonhill_engine::{Engine, EngineError, HttpEngine, Sink};
@@ -73,7 +73,7 @@
 
     /// Reports work that cannot run here as failed.
     pub(crate) fn skip(&self, work: Work) {
-        let outcome = Outcome::Failed(Breakage::Failed);
+        let outcome = Outcome::Failed(FailureCause::Failed);
         self.control.input(Input::Finished { attempt: work.attempt, endpoint: work.endpoint, outcome });
     }
 
--- a/crates/daemon/src/entry/control.rs
+++ b/crates/daemon/src/entry/control.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 use tarragonhill_core::{
     Attempt, Request, Time, home,
-    message::{Answer, Ask, Breakage, Load},
+    message::{Answer, Ask, FailureCause, Load},
     placement::Need,
     quarantine::Strike,
     quota::{Grant, Verdict, Waiter},
@@ -59,7 +59,7 @@
     pub(crate) customer: Arc<str>,
     pub(crate) endpoint: Arc<str>,
     pub(crate) number: u32,
-    pub(crate) cause: Breakage,
+    pub(crate) cause: FailureCause,
 }
 
 /// What the thread is asked.
--- a/crates/daemon/src/entry/links.rs
+++ b/crates/daemon/src/entry/links.rs
@@ -12,7 +12,7 @@
 use futures_lite::{FutureExt as _, StreamExt as _};
 use tarragonhill_core::{
     Attempt,
-    message::{Beat, Breakage, Event, Order},
+    message::{Beat, Event, FailureCause, Order},
     settings::Snapshot,
 };
 use tarragonhill_wire::proto::{self, agent_client::AgentClient};
@@ -242,7 +242,7 @@
         }
         let lost: Vec<_> = state.routes.iter().filter(|(_, route)| route.agents.contains(agent)).collect();
         for (attempt, route) in lost {
-            let _ = route.inbox.try_send(Event::Broken { attempt: *attempt, cause: Breakage::LinkLost });
+            let _ = route.inbox.try_send(Event::Failed { attempt: *attempt, cause: FailureCause::LinkLost });
         }
         drop(state);
         self.0.control.link(self.fronted(agent), false);
--- a/crates/daemon/src/entry/stages/attempt.rs
+++ b/crates/daemon/src/entry/stages/attempt.rs
@@ -5,7 +5,7 @@
 use async_channel::Receiver;
 use tarragonhill_core::{
     Attempt, Code, Refusal,
-    message::{Breakage, Event, Order},
+    message::{Event, FailureCause, Order},
 };
 
 use crate::entry::context::Context;
@@ -27,7 +27,7 @@
         /// Where.
         endpoint: Arc<str>,
         /// How.
-        cause: Breakage,
+        cause: FailureCause,
     },
 }
 
@@ -69,7 +69,7 @@
         self.endpoints.push(endpoint.clone());
         self.agents.insert(agent.clone());
         let sent = self.context.links.send(agent, self.attempt, order);
-        sent.map_err(|_| Failure::Broken { endpoint: endpoint.clone(), cause: Breakage::LinkLost })
+        sent.map_err(|_| Failure::Broken { endpoint: endpoint.clone(), cause: FailureCause::LinkLost })
     }
 
     /// The next event of the attempt, `limit` at most. `endpoint` is blamed for whatever goes
@@ -78,9 +78,9 @@
         let broken = |cause| Failure::Broken { endpoint: endpoint.clone(), cause };
         let next = async_std::future::timeout(limit, self.inbox.recv()).await;
         match next {
-            Err(_) => Err(broken(Breakage::Stalled)),
-            Ok(Err(_)) => Err(broken(Breakage::LinkLost)),
-            Ok(Ok(Event::Broken { cause, .. })) => Err(broken(cause)),
+            Err(_) => Err(broken(FailureCause::Stalled)),
+            Ok(Err(_)) => Err(broken(FailureCause::LinkLost)),
+            Ok(Ok(Event::Failed { cause, .. })) => Err(broken(cause)),
             Ok(Ok(Event::Refused { code, not_run, retry_after, .. })) => {
                 Err(refused(endpoint, code, not_run, retry_after))
             }
--- a/crates/daemon/src/entry/stages/complete.rs
+++ b/crates/daemon/src/entry/stages/complete.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use futures_lite::FutureExt as _;
-use tarragonhill_core::{Attempt, Code, Refusal, message::Breakage, quarantine::fingerprint};
+use tarragonhill_core::{Attempt, Code, Refusal, message::FailureCause, quarantine::fingerprint};
 use tarragonhill_http::server::{Outbound, Watch};
 
 use super::{
@@ -225,10 +225,10 @@
     mark: u64,
     endpoint: &Arc<str>,
     number: u32,
-    cause: Breakage,
+    cause: FailureCause,
 ) -> Result<(), Refusal> {
     let customer = ticket.key.customer.clone();
-    if cause == Breakage::Crashed {
+    if cause == FailureCause::Crashed {
         ticket.suspect = true;
         if !context.strike(&customer, mark).await.quarantined.is_zero() {
             return Err(broken(cause));
@@ -265,6 +265,6 @@
     refusal.retry_after(retry_after.max(Duration::from_millis(200)))
 }
 
-fn broken(cause: Breakage) -> Refusal {
+fn broken(cause: FailureCause) -> Refusal {
     Refusal::run(Code::Broken, format!("the work broke off ({cause}) and could not be resumed"))
 }
--- a/crates/daemon/src/entry/stages/decode.rs
+++ b/crates/daemon/src/entry/stages/decode.rs
@@ -4,7 +4,7 @@
 
 use tarragonhill_core::{
     Code, Refusal,
-    message::{Breakage, Event, Order},
+    message::{Event, FailureCause, Order},
 };
 
 use super::{
@@ -62,7 +62,7 @@
 
 fn failure(error: TokenError, endpoint: &std::sync::Arc<str>) -> Failure {
     match error {
-        TokenError::Gap => Failure::Broken { endpoint: endpoint.clone(), cause: Breakage::Crashed },
+        TokenError::Gap => Failure::Broken { endpoint: endpoint.clone(), cause: FailureCause::Crashed },
         TokenError::CallerGone => Refusal::run(Code::Cancelled, "the caller left").into(),
     }
 }
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -5,7 +5,7 @@
 use async_std::future::timeout;
 use tarragonhill_core::{
     agent::{Call, Outcome},
-    message::{Breakage, Work},
+    message::{FailureCause, Work},
     settings::Endpoint,
 };
 use tarragonhill_http::client::{self, Pool};
@@ -95,7 +95,7 @@
         let call = client::Call::post("/prefill", &body).over_kept();
         let answer = match self.pool.send(self.address, call, WORK_TIMEOUT).await {
             Ok(answer) if answer.status() == 200 => answer.json::<Prefilled>().await,
-            Ok(_) => return Outcome::Failed(Breakage::Failed),
+            Ok(_) => return Outcome::Failed(FailureCause::Failed),
             Err(error) => Err(error),
         };
         match answer {
@@ -112,20 +112,20 @@
         let call = client::Call::post("/decode", body).over_kept();
         let mut answer = self.pool.send(self.address, call, IMPORT_TIMEOUT).await?;
         if answer.status() != 200 {
-            return Ok(Outcome::Failed(Breakage::Failed));
+            return Ok(Outcome::Failed(FailureCause::Failed));
         }
         let mut limit = IMPORT_TIMEOUT;
         loop {
             let line = timeout(limit, answer.line()).await.unwrap_or(Err(client::Error::Timeout))?;
             let Some(line) = line else {
-                return Ok(Outcome::Failed(Breakage::Crashed));
+                return Ok(Outcome::Failed(FailureCause::Crashed));
             };
             let line =
                 serde_json::from_str(&line).map_err(|error| client::Error::Unexpected(error.to_string()))?;
             match line {
                 Line::Imported => limit = TOKEN_TIMEOUT,
-                Line::Evicted => return Ok(Outcome::Failed(Breakage::Evicted)),
-                Line::Full => return Ok(Outcome::Failed(Breakage::Failed)),
+                Line::Evicted => return Ok(Outcome::Failed(FailureCause::Evicted)),
+                Line::Full => return Ok(Outcome::Failed(FailureCause::Failed)),
                 Line::Token { index, text } => sink.token(index, text).await,
                 Line::End { total } => {
                     if timeout(CONTROL_TIMEOUT, answer.line()).await == Ok(Ok(None)) {
@@ -139,7 +139,7 @@
 
     async fn run_call(&self, work: &Work, call: &Call) -> Outcome {
         let Some(mut request) = client::Call::raw(&call.method, &*call.path, call.body.clone()) else {
-            return Outcome::Failed(Breakage::Failed);
+            return Outcome::Failed(FailureCause::Failed);
         };
         request = request.header("x-request-id", work.attempt.request.to_string());
         request = request.header("x-customer", &*work.customer);
@@ -160,11 +160,11 @@
     }
 }
 
-fn breakage(error: &client::Error) -> Breakage {
+fn breakage(error: &client::Error) -> FailureCause {
     match error {
-        client::Error::Connect(_) | client::Error::Broken(_) => Breakage::Crashed,
-        client::Error::Timeout => Breakage::Stalled,
-        client::Error::Path(_) | client::Error::Unexpected(_) => Breakage::Failed,
+        client::Error::Connect(_) | client::Error::Broken(_) => FailureCause::Crashed,
+        client::Error::Timeout => FailureCause::Stalled,
+        client::Error::Path(_) | client::Error::Unexpected(_) => FailureCause::Failed,
     }
 }
 
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -229,7 +229,7 @@
             Event::Ended { attempt, total } => {
                 event::Body::Ended(proto::Ended { attempt: Some(attempt.into()), total })
             }
-            Event::Broken { attempt, cause } => {
+            Event::Failed { attempt, cause } => {
                 event::Body::Broken(proto::Broken { attempt: Some(attempt.into()), code: cause.to_string() })
             }
             Event::Answered { attempt, status, body } => event::Body::Answered(proto::Answered {
@@ -271,7 +271,7 @@
             },
             event::Body::Ended(ended) => Self::Ended { attempt: attempt(ended.attempt)?, total: ended.total },
             event::Body::Broken(broken) => {
-                Self::Broken { attempt: attempt(broken.attempt)?, cause: named("breakage", &broken.code)? }
+                Self::Failed { attempt: attempt(broken.attempt)?, cause: named("breakage", &broken.code)? }
             }
             event::Body::Answered(answered) => Self::Answered {
                 attempt: attempt(answered.attempt)?,
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -13,7 +13,7 @@
         staleness::Versions,
         state::Listing,
     },
-    message::{Answer, Ask, Beat, Breakage, Event, Load, Order, Work},
+    message::{Answer, Ask, Beat, Event, FailureCause, Load, Order, Work},
     quarantine::Strike,
     quota::{Grant, Loan},
 };
@@ -85,7 +85,7 @@
         Event::Prefilled { attempt, source: name("a"), kv: name("b"), lives: SPAN },
         Event::Tokens { attempt, first_index: 4, texts: vec![name("x"), name("y")] },
         Event::Ended { attempt, total: 6 },
-        Event::Broken { attempt, cause: Breakage::Evicted },
+        Event::Failed { attempt, cause: FailureCause::Evicted },
         Event::Answered { attempt, status: 204, body: vec![1] },
         Event::Beat(beat()),
     ] {
