--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -334,7 +334,7 @@
                 prompt_tokens: 4_000,
                 max_tokens: 200,
                 slack: Duration::from_secs(3_600),
-                patience: Duration::from_secs(3_600),
+                timeout: Duration::from_secs(3_600),
                 suspect: false,
             };
             let order = Order::Prefill { work, prompt: "".into(), wait: Duration::ZERO };
--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -64,7 +64,7 @@
         /// Names the result there.
         kv: Arc<str>,
         /// How long the engine keeps it.
-        lives: Duration,
+        ttl: Duration,
     },
     /// All tokens were sent.
     Decoded {
@@ -338,7 +338,7 @@
         let Some(active) = lane.active.remove(&attempt) else { return };
         lane.measure(now, &active, &outcome);
         let event = match outcome {
-            Outcome::Prefilled { source, kv, lives } => Event::Prefilled { attempt, source, kv, lives },
+            Outcome::Prefilled { source, kv, ttl } => Event::Prefilled { attempt, source, kv, ttl },
             Outcome::Decoded { total } => Event::Ended { attempt, total },
             Outcome::Answered { status, body } => Event::Answered { attempt, status, body },
             Outcome::Failed(cause) => Event::Failed { attempt, cause },
--- a/crates/core/src/agent/lane.rs
+++ b/crates/core/src/agent/lane.rs
@@ -130,7 +130,7 @@
         wait: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let (attempt, until) = (work.attempt, now.plus(work.patience));
+        let (attempt, until) = (work.attempt, now.plus(work.timeout));
         let start_by = now.plus(work.slack.saturating_sub(self.own_time(&work, &task)));
         let admission = self.admission(now, &work, &task);
         let job = Job { link, work, weight, start_by, until, task };
@@ -163,7 +163,7 @@
         let own = u64::from(work.prompt_tokens);
         let before = self.running_tokens(now, speed) + own;
         let ends_in = |tokens: u64| Duration::from_secs_f64((tokens + before) as f64 / speed);
-        let hopeless = ends_in(self.waiting.queued()).saturating_sub(work.patience);
+        let hopeless = ends_in(self.waiting.queued()).saturating_sub(work.timeout);
         if ends_in(self.waiting.ahead_of(&work.customer, own)) <= work.slack {
             return Admission::Timely;
         }
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -29,7 +29,7 @@
     pub slack: Duration,
     /// Time after which the work is given up, counted likewise. What cannot meet the first-token
     /// target is served after everything that can, until then.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// It was running when an endpoint crashed. An endpoint runs one such at a time.
     pub suspect: bool,
 }
@@ -120,7 +120,7 @@
         /// Names the result there.
         kv: Arc<str>,
         /// How long the engine will keep it.
-        lives: Duration,
+        ttl: Duration,
     },
     /// Tokens of the answer.
     Tokens {
--- a/crates/core/tests/agent.rs
+++ b/crates/core/tests/agent.rs
@@ -64,7 +64,7 @@
         prompt_tokens: 4_000,
         max_tokens: 100,
         slack: Duration::from_millis(900),
-        patience: Duration::from_secs(4),
+        timeout: Duration::from_secs(4),
         suspect: false,
     }
 }
@@ -89,7 +89,7 @@
 }
 
 fn prefilled() -> Outcome {
-    Outcome::Prefilled { source: "127.0.0.1:1".into(), kv: "kv".into(), lives: Duration::from_millis(800) }
+    Outcome::Prefilled { source: "127.0.0.1:1".into(), kv: "kv".into(), ttl: Duration::from_millis(800) }
 }
 
 fn free(state: &State) -> u32 {
--- a/crates/daemon/src/entry/stages/plain.rs
+++ b/crates/daemon/src/entry/stages/plain.rs
@@ -110,7 +110,7 @@
         prompt_tokens: 0,
         max_tokens: 0,
         slack: LONGEST,
-        patience: LONGEST,
+        timeout: LONGEST,
         suspect: false,
     };
     let order = Order::Call {
--- a/crates/daemon/src/entry/stages/plan.rs
+++ b/crates/daemon/src/entry/stages/plan.rs
@@ -52,7 +52,7 @@
         prompt_tokens: completion.prompt_tokens(),
         max_tokens: completion.max_tokens,
         slack: slack(context, ticket),
-        patience: patience(context, ticket),
+        timeout: patience(context, ticket),
         suspect: ticket.suspect,
     }
 }
@@ -96,7 +96,7 @@
         return Ok(Planned { decode: placed, ready_in: Duration::ZERO, held: false });
     }
     let work = work(context, ticket, completion, dispatch, &placed.endpoint);
-    let limit = work.patience + ANSWER_GRACE;
+    let limit = work.timeout + ANSWER_GRACE;
     let order = Order::Hold { work, ahead: context.policy.promises_ahead() };
     dispatch.send(&placed.agent, &placed.endpoint, order)?;
     loop {
--- a/crates/daemon/src/entry/stages/prefill.rs
+++ b/crates/daemon/src/entry/stages/prefill.rs
@@ -90,7 +90,7 @@
 ) -> Result<Prefilled, Failure> {
     let mut work = work(context, ticket, completion, dispatch, &placed.endpoint);
     if !may_be_late {
-        work.patience = work.slack;
+        work.timeout = work.slack;
     }
     // A result is evicted in under a second: it must not be ready long before its place is.
     let wait = planned.ready_in.saturating_sub(placed.prefill);
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -102,7 +102,7 @@
             Ok(done) => Outcome::Prefilled {
                 source: self.address.to_string().into(),
                 kv: done.kv,
-                lives: Duration::from_millis(done.lives_ms),
+                ttl: Duration::from_millis(done.lives_ms),
             },
             Err(error) => Outcome::Failed(breakage(&error)),
         }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -70,7 +70,7 @@
             prompt_tokens: work.prompt_tokens,
             max_tokens: work.max_tokens,
             slack_us: micros(work.slack),
-            patience_us: micros(work.patience),
+            patience_us: micros(work.timeout),
             suspect: work.suspect,
         }
     }
@@ -86,7 +86,7 @@
         prompt_tokens: sent.prompt_tokens,
         max_tokens: sent.max_tokens,
         slack: Duration::from_micros(sent.slack_us),
-        patience: Duration::from_micros(sent.patience_us),
+        timeout: Duration::from_micros(sent.patience_us),
         suspect: sent.suspect,
     })
 }
@@ -215,11 +215,11 @@
                 not_run,
                 retry_after_us: micros(retry_after),
             }),
-            Event::Prefilled { attempt, source, kv, lives } => event::Body::Prefilled(proto::Prefilled {
+            Event::Prefilled { attempt, source, kv, ttl } => event::Body::Prefilled(proto::Prefilled {
                 attempt: Some(attempt.into()),
                 source: source.to_string(),
                 kv: kv.to_string(),
-                lives_us: micros(lives),
+                lives_us: micros(ttl),
             }),
             Event::Tokens { attempt, first_index, texts } => event::Body::Tokens(proto::Tokens {
                 attempt: Some(attempt.into()),
@@ -262,7 +262,7 @@
                 attempt: attempt(done.attempt)?,
                 source: done.source.into(),
                 kv: done.kv.into(),
-                lives: Duration::from_micros(done.lives_us),
+                ttl: Duration::from_micros(done.lives_us),
             },
             event::Body::Tokens(tokens) => Self::Tokens {
                 attempt: attempt(tokens.attempt)?,
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -38,7 +38,7 @@
         prompt_tokens: 7,
         max_tokens: 8,
         slack: SPAN,
-        patience: SPAN * 2,
+        timeout: SPAN * 2,
         suspect: true,
     }
 }
@@ -82,7 +82,7 @@
     for event in [
         Event::Held { attempt, ready_in: SPAN },
         Event::Refused { attempt, code: Code::Overloaded, not_run: true, retry_after: SPAN },
-        Event::Prefilled { attempt, source: name("a"), kv: name("b"), lives: SPAN },
+        Event::Prefilled { attempt, source: name("a"), kv: name("b"), ttl: SPAN },
         Event::Tokens { attempt, first_index: 4, texts: vec![name("x"), name("y")] },
         Event::Ended { attempt, total: 6 },
         Event::Failed { attempt, cause: FailureCause::Evicted },
