--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     id::Attempt,
-    quarantine::Strike,
+    quarantine::CrashStatus,
     quota::{Grant, Loan},
     refusal::Code,
 };
@@ -222,7 +222,7 @@
 
 /// What an entry asks of another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum PeerRequest {
     /// Asks a customer's home for tokens, or gives some back.
     Borrow {
         /// The customer.
@@ -233,7 +233,7 @@
     /// A heartbeat.
     Beat(Beat),
     /// Reports or looks up crashes of one request's fingerprint.
-    Strike {
+    CrashStatus {
         /// The customer.
         customer: Arc<str>,
         /// Digest of customer and body.
@@ -247,25 +247,25 @@
         incarnation: u64,
     },
     /// Asks to read the rows of homes now: a home has been offered.
-    Look,
+    RefreshHomes,
 }
 
 /// What an entry answers another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum PeerReply {
     /// Tokens lent, possibly none.
     Lent(Grant),
     /// A heartbeat.
     Beat(Beat),
     /// What is known of a fingerprint.
-    Struck(Strike),
+    CrashStatus(CrashStatus),
     /// Answer to a renewal.
     Renewed {
         /// Whether the lease was extended.
         granted: bool,
     },
     /// Understood.
-    Noted,
+    Acknowledged,
     /// The customer's home is elsewhere.
     NotHome {
         /// The owner as far as known, empty if not.
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -40,14 +40,14 @@
 
 /// What is known of a fingerprint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Strike {
+pub struct CrashStatus {
     /// Crashes seen.
     pub crashes: u32,
     /// How long it is refused from now; zero if it may run.
     pub quarantined: Duration,
 }
 
-impl Strike {
+impl CrashStatus {
     /// A suspect runs alone: other requests on the same endpoint would crash with it.
     pub fn is_suspect(self) -> bool {
         self.crashes > 0
@@ -56,7 +56,7 @@
 
 impl Ledger {
     /// Counts a crash.
-    pub fn crashed(&mut self, now: Time, customer: &Arc<str>, fingerprint: u64) -> Strike {
+    pub fn crashed(&mut self, now: Time, customer: &Arc<str>, fingerprint: u64) -> CrashStatus {
         self.forget_old(now);
         let record =
             self.records.entry((customer.clone(), fingerprint)).or_insert(Record { crashes: 0, last: now });
@@ -66,16 +66,16 @@
     }
 
     /// What is known of the fingerprint.
-    pub fn look_up(&self, now: Time, customer: &Arc<str>, fingerprint: u64) -> Strike {
+    pub fn look_up(&self, now: Time, customer: &Arc<str>, fingerprint: u64) -> CrashStatus {
         let Some(record) = self.records.get(&(customer.clone(), fingerprint)) else {
-            return Strike::default();
+            return CrashStatus::default();
         };
         let left = QUARANTINE.saturating_sub(now.since(record.last));
         if left.is_zero() {
-            return Strike::default();
+            return CrashStatus::default();
         }
         let quarantined = if record.crashes >= CRASHES { left } else { Duration::ZERO };
-        Strike { crashes: record.crashes, quarantined }
+        CrashStatus { crashes: record.crashes, quarantined }
     }
 
     /// A suspect that ran to its end is cleared.
--- a/crates/daemon/src/entry/context.rs
+++ b/crates/daemon/src/entry/context.rs
@@ -10,7 +10,9 @@
 };
 
 use async_std::task;
-use tarragonhill_core::{Clock, Code, Refusal, Request, message::Ask, placement::Policy, quarantine::Strike};
+use tarragonhill_core::{
+    Clock, Code, Refusal, Request, message::PeerRequest, placement::Policy, quarantine::CrashStatus,
+};
 use tarragonhill_table::Table;
 
 use crate::{
@@ -64,11 +66,11 @@
 
     /// Counts a crash here and tells all other entries, so that sending the request again through
     /// another one does not start the count anew. Crashes are rare, so telling all costs little.
-    pub(crate) async fn strike(self: &Arc<Self>, customer: &Arc<str>, fingerprint: u64) -> Strike {
+    pub(crate) async fn strike(self: &Arc<Self>, customer: &Arc<str>, fingerprint: u64) -> CrashStatus {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
         for address in self.control.addresses((*entries).clone()).await.into_values() {
             let context = self.clone();
-            let ask = Ask::Strike { customer: customer.clone(), fingerprint, crashed: true };
+            let ask = PeerRequest::CrashStatus { customer: customer.clone(), fingerprint, crashed: true };
             task::spawn(async move { context.peers.ask(&address, &context.name, ask).await });
         }
         self.control.strike(customer, fingerprint, true).await
--- a/crates/daemon/src/entry/control.rs
+++ b/crates/daemon/src/entry/control.rs
@@ -11,9 +11,9 @@
 use serde_json::Value;
 use tarragonhill_core::{
     Attempt, Request, Time, home,
-    message::{Answer, Ask, FailureCause, Load},
+    message::{FailureCause, Load, PeerReply, PeerRequest},
     placement::Need,
-    quarantine::Strike,
+    quarantine::CrashStatus,
     quota::{Grant, Verdict, Waiter},
     settings::{Role, Snapshot},
 };
@@ -76,9 +76,9 @@
     Link(Vec<Arc<str>>, bool),
     Earn(Arc<str>, Arc<str>),
     Retry(Failure, Sender<bool>),
-    Strike(Arc<str>, u64, bool, Sender<Strike>),
+    Strike(Arc<str>, u64, bool, Sender<CrashStatus>),
     Clear(Arc<str>, u64),
-    Ask(Arc<str>, Ask, Sender<Answer>),
+    Ask(Arc<str>, PeerRequest, Sender<PeerReply>),
     Lent(Arc<str>, u64, Option<Grant>),
     Renewal(Sender<home::Write>),
     Renewed(Time),
@@ -171,7 +171,7 @@
     }
 
     /// Counts a crash, or looks up those counted.
-    pub(crate) async fn strike(&self, customer: &Arc<str>, fingerprint: u64, crashed: bool) -> Strike {
+    pub(crate) async fn strike(&self, customer: &Arc<str>, fingerprint: u64, crashed: bool) -> CrashStatus {
         let strike = self.ask(|reply| Command::Strike(customer.clone(), fingerprint, crashed, reply)).await;
         strike.unwrap_or_default()
     }
@@ -182,7 +182,7 @@
     }
 
     /// Answers another entry.
-    pub(crate) async fn answer(&self, from: Arc<str>, ask: Ask) -> Option<Answer> {
+    pub(crate) async fn answer(&self, from: Arc<str>, ask: PeerRequest) -> Option<PeerReply> {
         self.ask(|reply| Command::Ask(from, ask, reply)).await
     }
 
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -7,7 +7,7 @@
 };
 
 use async_std::task::{self, JoinHandle};
-use tarragonhill_core::message::{Answer, Ask};
+use tarragonhill_core::message::{PeerReply, PeerRequest};
 use tarragonhill_wire::proto::{self, peer_server};
 use tonic::{
     Request, Response, Status,
@@ -41,7 +41,7 @@
     ) -> Result<Response<proto::PeerReply>, Status> {
         let request = request.into_inner();
         let body = request.body.ok_or_else(|| Status::invalid_argument("empty request"))?;
-        let ask = Ask::try_from(body).map_err(|error| Status::invalid_argument(error.to_string()))?;
+        let ask = PeerRequest::try_from(body).map_err(|error| Status::invalid_argument(error.to_string()))?;
         let answer = self.0.control.answer(request.entry.into(), ask).await;
         let answer = answer.ok_or_else(|| Status::unavailable("stopping"))?;
         Ok(Response::new(answer.into()))
@@ -60,8 +60,8 @@
         for (name, address) in addresses {
             let context = context.clone();
             task::spawn(async move {
-                let ask = Ask::Beat(context.current.beat());
-                if let Some(Answer::Beat(beat)) = context.peers.ask(&address, &context.name, ask).await {
+                let ask = PeerRequest::Beat(context.current.beat());
+                if let Some(PeerReply::Beat(beat)) = context.peers.ask(&address, &context.name, ask).await {
                     context.current.heard(&name, &beat);
                 }
             });
--- a/crates/daemon/src/entry/homes.rs
+++ b/crates/daemon/src/entry/homes.rs
@@ -7,7 +7,7 @@
 use futures_lite::FutureExt as _;
 use tarragonhill_core::{
     home::{self, Home},
-    message::{Answer, Ask},
+    message::{PeerReply, PeerRequest},
 };
 use tarragonhill_table::{HostState, Hosts as _, HttpHosts, Table, TableError, Transaction, Write};
 
@@ -79,8 +79,9 @@
     let addresses = context.control.addresses(successors.clone()).await;
     let mut granted = 0;
     for address in addresses.values() {
-        let ask = Ask::Renew { incarnation: context.control.incarnation() };
-        if let Some(Answer::Renewed { granted: true }) = context.peers.ask(address, &context.name, ask).await
+        let ask = PeerRequest::Renew { incarnation: context.control.incarnation() };
+        if let Some(PeerReply::Renewed { granted: true }) =
+            context.peers.ask(address, &context.name, ask).await
         {
             granted += 1;
         }
@@ -103,7 +104,9 @@
         }
         for address in context.control.addresses(takers).await.into_values() {
             let context = context.clone();
-            task::spawn(async move { context.peers.ask(&address, &context.name, Ask::Look).await });
+            task::spawn(async move {
+                context.peers.ask(&address, &context.name, PeerRequest::RefreshHomes).await
+            });
         }
     }
     any
--- a/crates/daemon/src/entry/owner.rs
+++ b/crates/daemon/src/entry/owner.rs
@@ -17,9 +17,9 @@
 use tarragonhill_core::{
     Clock, Request, Time,
     home::{self, Home},
-    message::{Answer, Ask},
+    message::{PeerReply, PeerRequest},
     placement::{Need, Policy, Search, View},
-    quarantine::{self, Strike},
+    quarantine::{self, CrashStatus},
     quota::{Bucket, Grant, Purse, Verdict, Waiter},
     retry::Budget,
 };
@@ -274,13 +274,13 @@
         let Some(purse) = self.purses.get_mut(customer) else { return };
         if let Some(loan) = purse.ask(now) {
             let serial = loan.serial;
-            let ask = Ask::Borrow { customer: customer.clone(), loan };
+            let ask = PeerRequest::Borrow { customer: customer.clone(), loan };
             self.borrow(now, customer, serial, ask);
         }
         self.reset_timer(now, customer);
     }
 
-    fn borrow(&mut self, now: Time, customer: &Arc<str>, serial: u64, ask: Ask) {
+    fn borrow(&mut self, now: Time, customer: &Arc<str>, serial: u64, ask: PeerRequest) {
         let Some(owner) = self.home.owner(customer) else {
             self.look();
             return self.settle(now, customer, serial, None);
@@ -288,7 +288,7 @@
         if owner == self.me {
             let borrower = self.borrower.clone();
             let answer = self.answer(now, &borrower, ask);
-            let grant = if let Answer::Lent(grant) = answer { Some(grant) } else { None };
+            let grant = if let PeerReply::Lent(grant) = answer { Some(grant) } else { None };
             return self.settle(now, customer, serial, grant);
         }
         match self.home.address(&owner) {
@@ -366,35 +366,35 @@
         let _ = self.look.try_send(());
     }
 
-    fn strike(&mut self, now: Time, customer: &Arc<str>, fingerprint: u64, crashed: bool) -> Strike {
+    fn strike(&mut self, now: Time, customer: &Arc<str>, fingerprint: u64, crashed: bool) -> CrashStatus {
         match crashed {
             true => self.quarantine.crashed(now, customer, fingerprint),
             false => self.quarantine.look_up(now, customer, fingerprint),
         }
     }
 
-    fn answer(&mut self, now: Time, from: &Arc<str>, ask: Ask) -> Answer {
+    fn answer(&mut self, now: Time, from: &Arc<str>, ask: PeerRequest) -> PeerReply {
         match ask {
-            Ask::Borrow { customer, loan } => {
+            PeerRequest::Borrow { customer, loan } => {
                 let settings = self.current.get();
                 match self.home.lend(now, &settings, &customer, from, loan) {
-                    Ok(grant) => Answer::Lent(grant),
-                    Err(elsewhere) => Answer::NotHome { owner: elsewhere.owner, epoch: elsewhere.epoch },
+                    Ok(grant) => PeerReply::Lent(grant),
+                    Err(elsewhere) => PeerReply::NotHome { owner: elsewhere.owner, epoch: elsewhere.epoch },
                 }
             }
-            Ask::Beat(beat) => {
+            PeerRequest::Beat(beat) => {
                 self.current.heard(from, &beat);
-                Answer::Beat(self.current.beat())
+                PeerReply::Beat(self.current.beat())
             }
-            Ask::Strike { customer, fingerprint, crashed } => {
-                Answer::Struck(self.strike(now, &customer, fingerprint, crashed))
+            PeerRequest::CrashStatus { customer, fingerprint, crashed } => {
+                PeerReply::CrashStatus(self.strike(now, &customer, fingerprint, crashed))
             }
-            Ask::Look => {
+            PeerRequest::RefreshHomes => {
                 self.look();
-                Answer::Noted
+                PeerReply::Acknowledged
             }
-            Ask::Renew { incarnation } => {
-                Answer::Renewed { granted: self.home.grant_renewal(now, from, incarnation) }
+            PeerRequest::Renew { incarnation } => {
+                PeerReply::Renewed { granted: self.home.grant_renewal(now, from, incarnation) }
             }
         }
     }
--- a/crates/daemon/src/entry/peers.rs
+++ b/crates/daemon/src/entry/peers.rs
@@ -7,7 +7,7 @@
 };
 
 use async_std::task;
-use tarragonhill_core::message::{Answer, Ask};
+use tarragonhill_core::message::{PeerReply, PeerRequest};
 use tarragonhill_wire::proto::{self, peer_client::PeerClient};
 use tonic::transport::{Channel, Endpoint};
 
@@ -34,7 +34,12 @@
 
     /// Asks the peer at `address`; `None` if it does not answer in time. A client that timed out
     /// is dropped, since its connection may have gone silent for good.
-    pub(crate) async fn ask(&self, address: &Arc<str>, from: &Arc<str>, ask: Ask) -> Option<Answer> {
+    pub(crate) async fn ask(
+        &self,
+        address: &Arc<str>,
+        from: &Arc<str>,
+        ask: PeerRequest,
+    ) -> Option<PeerReply> {
         let mut client = self.client(address)?;
         let request = proto::PeerRequest { entry: from.to_string(), body: Some(ask.into()) };
         let reply = async_std::future::timeout(TIMEOUT, client.exchange(request)).await;
@@ -42,17 +47,24 @@
             self.0.lock().unwrap_or_else(PoisonError::into_inner).remove(address);
             return None;
         };
-        Answer::try_from(reply.into_inner()).ok()
+        PeerReply::try_from(reply.into_inner()).ok()
     }
 
     /// Asks a home for tokens and hands the reply to the control thread.
-    pub(crate) fn borrow(&self, control: Control, address: Arc<str>, from: Arc<str>, serial: u64, ask: Ask) {
+    pub(crate) fn borrow(
+        &self,
+        control: Control,
+        address: Arc<str>,
+        from: Arc<str>,
+        serial: u64,
+        ask: PeerRequest,
+    ) {
         let peers = self.clone();
         task::spawn(async move {
-            let Ask::Borrow { customer, .. } = &ask else { return };
+            let PeerRequest::Borrow { customer, .. } = &ask else { return };
             let customer = customer.clone();
             let grant = match peers.ask(&address, &from, ask).await {
-                Some(Answer::Lent(grant)) => Some(grant),
+                Some(PeerReply::Lent(grant)) => Some(grant),
                 _ => None,
             };
             control.lent(&customer, serial, grant);
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -5,7 +5,7 @@
 use tarragonhill_core::{
     clock::micros,
     id::{Attempt, Request},
-    message::{Answer, Ask, Beat, Event, Load, Order, Work},
+    message::{Beat, Event, Load, Order, PeerReply, PeerRequest, Work},
 };
 
 use crate::proto::{self, event, order, peer_reply, peer_request};
@@ -283,10 +283,10 @@
     }
 }
 
-impl From<Ask> for peer_request::Body {
-    fn from(ask: Ask) -> Self {
+impl From<PeerRequest> for peer_request::Body {
+    fn from(ask: PeerRequest) -> Self {
         match ask {
-            Ask::Borrow { customer, loan } => Self::Borrow(proto::Borrow {
+            PeerRequest::Borrow { customer, loan } => Self::Borrow(proto::Borrow {
                 customer: customer.to_string(),
                 tokens: loan.tokens,
                 minimum: loan.minimum,
@@ -294,17 +294,17 @@
                 refund: loan.refund,
                 serial: loan.serial,
             }),
-            Ask::Beat(beat) => Self::Beat(beat.into()),
-            Ask::Strike { customer, fingerprint, crashed } => {
+            PeerRequest::Beat(beat) => Self::Beat(beat.into()),
+            PeerRequest::CrashStatus { customer, fingerprint, crashed } => {
                 Self::Strike(proto::Strike { customer: customer.to_string(), fingerprint, crashed })
             }
-            Ask::Renew { incarnation } => Self::Renew(proto::Renew { incarnation }),
-            Ask::Look => Self::Look(proto::Look {}),
+            PeerRequest::Renew { incarnation } => Self::Renew(proto::Renew { incarnation }),
+            PeerRequest::RefreshHomes => Self::Look(proto::Look {}),
         }
     }
 }
 
-impl TryFrom<peer_request::Body> for Ask {
+impl TryFrom<peer_request::Body> for PeerRequest {
     type Error = DecodeError;
 
     fn try_from(sent: peer_request::Body) -> Result<Self, Self::Error> {
@@ -320,33 +320,33 @@
                 },
             },
             peer_request::Body::Beat(beat) => Self::Beat(beat.into()),
-            peer_request::Body::Strike(strike) => Self::Strike {
+            peer_request::Body::Strike(strike) => Self::CrashStatus {
                 customer: strike.customer.into(),
                 fingerprint: strike.fingerprint,
                 crashed: strike.crashed,
             },
             peer_request::Body::Renew(renew) => Self::Renew { incarnation: renew.incarnation },
-            peer_request::Body::Look(proto::Look {}) => Self::Look,
+            peer_request::Body::Look(proto::Look {}) => Self::RefreshHomes,
         })
     }
 }
 
-impl From<Answer> for proto::PeerReply {
-    fn from(answer: Answer) -> Self {
+impl From<PeerReply> for proto::PeerReply {
+    fn from(answer: PeerReply) -> Self {
         let body = match answer {
-            Answer::Lent(grant) => peer_reply::Body::Lent(proto::Lent {
+            PeerReply::Lent(grant) => peer_reply::Body::Lent(proto::Lent {
                 tokens: grant.tokens,
                 term_us: micros(grant.term),
                 retry_after_us: micros(grant.retry_after),
             }),
-            Answer::Beat(beat) => peer_reply::Body::Beat(beat.into()),
-            Answer::Struck(strike) => peer_reply::Body::Struck(proto::Struck {
+            PeerReply::Beat(beat) => peer_reply::Body::Beat(beat.into()),
+            PeerReply::CrashStatus(strike) => peer_reply::Body::Struck(proto::Struck {
                 crashes: strike.crashes,
                 quarantined_us: micros(strike.quarantined),
             }),
-            Answer::Noted => peer_reply::Body::Noted(proto::Noted {}),
-            Answer::Renewed { granted } => peer_reply::Body::Renewed(proto::Renewed { granted }),
-            Answer::NotHome { owner, epoch } => {
+            PeerReply::Acknowledged => peer_reply::Body::Noted(proto::Noted {}),
+            PeerReply::Renewed { granted } => peer_reply::Body::Renewed(proto::Renewed { granted }),
+            PeerReply::NotHome { owner, epoch } => {
                 peer_reply::Body::NotHome(proto::NotHome { owner: owner.to_string(), epoch })
             }
         };
@@ -354,7 +354,7 @@
     }
 }
 
-impl TryFrom<proto::PeerReply> for Answer {
+impl TryFrom<proto::PeerReply> for PeerReply {
     type Error = DecodeError;
 
     fn try_from(sent: proto::PeerReply) -> Result<Self, Self::Error> {
@@ -365,11 +365,13 @@
                 retry_after: Duration::from_micros(lent.retry_after_us),
             }),
             peer_reply::Body::Beat(beat) => Self::Beat(beat.into()),
-            peer_reply::Body::Struck(struck) => Self::Struck(tarragonhill_core::quarantine::Strike {
-                crashes: struck.crashes,
-                quarantined: Duration::from_micros(struck.quarantined_us),
-            }),
-            peer_reply::Body::Noted(proto::Noted {}) => Self::Noted,
+            peer_reply::Body::Struck(struck) => {
+                Self::CrashStatus(tarragonhill_core::quarantine::CrashStatus {
+                    crashes: struck.crashes,
+                    quarantined: Duration::from_micros(struck.quarantined_us),
+                })
+            }
+            peer_reply::Body::Noted(proto::Noted {}) => Self::Acknowledged,
             peer_reply::Body::Renewed(renewed) => Self::Renewed { granted: renewed.granted },
             peer_reply::Body::NotHome(elsewhere) => {
                 Self::NotHome { owner: elsewhere.owner.into(), epoch: elsewhere.epoch }
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -13,8 +13,8 @@
         staleness::Versions,
         state::Listing,
     },
-    message::{Answer, Ask, Beat, Event, FailureCause, Load, Order, Work},
-    quarantine::Strike,
+    message::{Beat, Event, FailureCause, Load, Order, PeerReply, PeerRequest, Work},
+    quarantine::CrashStatus,
     quota::{Grant, Loan},
 };
 use tarragonhill_wire::{DecodeError, proto};
@@ -97,23 +97,23 @@
 fn questions_and_answers_of_peers_survive() {
     let loan = Loan { tokens: 1, minimum: 2, unspent: 3, refund: 4, serial: 5 };
     for ask in [
-        Ask::Borrow { customer: name("faculty"), loan },
-        Ask::Beat(beat()),
-        Ask::Strike { customer: name("faculty"), fingerprint: u64::MAX, crashed: true },
-        Ask::Renew { incarnation: 8 },
-        Ask::Look,
+        PeerRequest::Borrow { customer: name("faculty"), loan },
+        PeerRequest::Beat(beat()),
+        PeerRequest::CrashStatus { customer: name("faculty"), fingerprint: u64::MAX, crashed: true },
+        PeerRequest::Renew { incarnation: 8 },
+        PeerRequest::RefreshHomes,
     ] {
-        assert_eq!(Ask::try_from(proto::peer_request::Body::from(ask.clone())), Ok(ask));
+        assert_eq!(PeerRequest::try_from(proto::peer_request::Body::from(ask.clone())), Ok(ask));
     }
     for answer in [
-        Answer::Lent(Grant { tokens: 1, term: SPAN, retry_after: SPAN }),
-        Answer::Beat(beat()),
-        Answer::Struck(Strike { crashes: 2, quarantined: SPAN }),
-        Answer::Renewed { granted: true },
-        Answer::Noted,
-        Answer::NotHome { owner: name("entry"), epoch: 3 },
+        PeerReply::Lent(Grant { tokens: 1, term: SPAN, retry_after: SPAN }),
+        PeerReply::Beat(beat()),
+        PeerReply::CrashStatus(CrashStatus { crashes: 2, quarantined: SPAN }),
+        PeerReply::Renewed { granted: true },
+        PeerReply::Acknowledged,
+        PeerReply::NotHome { owner: name("entry"), epoch: 3 },
     ] {
-        assert_eq!(Answer::try_from(proto::PeerReply::from(answer.clone())), Ok(answer));
+        assert_eq!(PeerReply::try_from(proto::PeerReply::from(answer.clone())), Ok(answer));
     }
 }
 
