--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -233,7 +233,7 @@
 
     fn order(&mut self, now: Time, link: Link, order: Order, actions: &mut Vec<Action>) {
         match order {
-            Order::Hello { .. } | Order::Beat(_) => {}
+            Order::Hello { .. } | Order::Heartbeat(_) => {}
             Order::Hold { work, ahead } => {
                 self.enqueue(now, link, work, Task::Hold { ahead }, Duration::ZERO, actions)
             }
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use crate::{clock::Time, message::Beat};
+use crate::{clock::Time, message::Heartbeat};
 
 /// Settings confirmed longer ago than this are not served by, unless all peers vouch.
 pub const MAX_AGE: Duration = Duration::from_secs(8);
@@ -56,7 +56,7 @@
 
     /// Takes a heartbeat. A peer's confirmation counts for us if its version is ours: the table
     /// had no newer one then.
-    pub fn heard(&mut self, now: Time, peer: &Arc<str>, beat: &Beat) {
+    pub fn heard(&mut self, now: Time, peer: &Arc<str>, beat: &Heartbeat) {
         self.peers.insert(peer.clone(), Heard { at: now, version: beat.version });
         if beat.version > self.version {
             self.behind = self.behind.or(Some(now));
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -87,7 +87,7 @@
     /// Gives an attempt up. Idempotent; also stops an attempt whose other orders arrive later.
     Cancel(Attempt),
     /// Shows that the entry and the connection live.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
 }
 
 /// What an agent tells an entry.
@@ -155,7 +155,7 @@
         body: Vec<u8>,
     },
     /// Shows that the agent and the connection live.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
 }
 
 impl Event {
@@ -169,7 +169,7 @@
             | Self::Ended { attempt, .. }
             | Self::Failed { attempt, .. }
             | Self::Answered { attempt, .. } => Some(*attempt),
-            Self::Beat(_) => None,
+            Self::Heartbeat(_) => None,
         }
     }
 }
@@ -192,13 +192,13 @@
 
 /// A heartbeat with what its sender knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Newest settings version the sender has in force.
     pub version: u64,
     /// How long ago the sender, or someone it heard of, confirmed that version with the table.
     pub age: Duration,
     /// How often the sender beats and wants to be beaten to; zero for as the receiver likes.
-    pub every: Duration,
+    pub interval: Duration,
     /// Fresh load of the endpoints that an agent fronts; empty from entries.
     pub loads: Vec<Load>,
 }
@@ -231,7 +231,7 @@
         loan: Loan,
     },
     /// A heartbeat.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Reports or looks up crashes of one request's fingerprint.
     CrashStatus {
         /// The customer.
@@ -256,7 +256,7 @@
     /// Tokens lent, possibly none.
     Lent(Grant),
     /// A heartbeat.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// What is known of a fingerprint.
     CrashStatus(CrashStatus),
     /// Answer to a renewal.
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -5,15 +5,15 @@
 use tarragonhill_core::{
     Time,
     freshness::{Freshness, MAX_AGE},
-    message::Beat,
+    message::Heartbeat,
 };
 
 fn at(seconds: u64) -> Time {
     Time::ZERO.plus(Duration::from_secs(seconds))
 }
 
-fn beat(version: u64, age: u64) -> Beat {
-    Beat { version, age: Duration::from_secs(age), ..Beat::default() }
+fn beat(version: u64, age: u64) -> Heartbeat {
+    Heartbeat { version, age: Duration::from_secs(age), ..Heartbeat::default() }
 }
 
 fn entries() -> BTreeSet<Arc<str>> {
--- a/crates/daemon/src/agent/metrics.rs
+++ b/crates/daemon/src/agent/metrics.rs
@@ -54,7 +54,7 @@
             Event::Ended { .. } => "ended",
             Event::Failed { .. } => "broken",
             Event::Answered { .. } => "answered",
-            Event::Tokens { .. } | Event::Beat(_) => return,
+            Event::Tokens { .. } | Event::Heartbeat(_) => return,
         };
         self.events.with_label_values(&[name]).inc();
     }
--- a/crates/daemon/src/agent/server.rs
+++ b/crates/daemon/src/agent/server.rs
@@ -115,8 +115,8 @@
         let silence = pace.every() * MISSED + SILENCE_GRACE;
         let Ok(Some(Ok(order))) = async_std::future::timeout(silence, orders.next()).await else { return };
         match Order::try_from(order) {
-            Ok(Order::Beat(beat)) => {
-                pace.set(beat.every);
+            Ok(Order::Heartbeat(beat)) => {
+                pace.set(beat.interval);
                 current.heard(&link_name(link), &beat);
             }
             Ok(order) => control.input(Input::Order(link, order)),
@@ -136,7 +136,7 @@
         // Without its control thread the agent is dead, and must look so.
         let Some(loads) = control.loads().await else { return };
         beat.loads = loads;
-        if events.send(Event::Beat(beat)).await.is_err() {
+        if events.send(Event::Heartbeat(beat)).await.is_err() {
             return;
         }
         task::sleep(pace.every()).await;
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -60,8 +60,10 @@
         for (name, address) in addresses {
             let context = context.clone();
             task::spawn(async move {
-                let ask = PeerRequest::Beat(context.current.beat());
-                if let Some(PeerReply::Beat(beat)) = context.peers.ask(&address, &context.name, ask).await {
+                let ask = PeerRequest::Heartbeat(context.current.beat());
+                if let Some(PeerReply::Heartbeat(beat)) =
+                    context.peers.ask(&address, &context.name, ask).await
+                {
                     context.current.heard(&name, &beat);
                 }
             });
--- a/crates/daemon/src/entry/links.rs
+++ b/crates/daemon/src/entry/links.rs
@@ -12,7 +12,7 @@
 use futures_lite::{FutureExt as _, StreamExt as _};
 use tarragonhill_core::{
     Attempt,
-    message::{Beat, Event, FailureCause, Order},
+    message::{Event, FailureCause, Heartbeat, Order},
     settings::Snapshot,
 };
 use tarragonhill_wire::proto::{self, agent_client::AgentClient};
@@ -179,7 +179,7 @@
             let next = async_std::future::timeout(silence, events.next()).await;
             let Some(event) = next.map_err(invalid)? else { return Ok(()) };
             match Event::try_from(event?) {
-                Ok(Event::Beat(beat)) => {
+                Ok(Event::Heartbeat(beat)) => {
                     self.heard(agent, beat);
                     silence = self.silence();
                 }
@@ -189,7 +189,7 @@
         }
     }
 
-    fn heard(&self, agent: &Arc<str>, beat: Beat) {
+    fn heard(&self, agent: &Arc<str>, beat: Heartbeat) {
         self.0.current.heard(&format!("agent {agent}").into(), &beat);
         self.0.control.loads(beat.loads);
     }
@@ -207,12 +207,12 @@
 
     async fn beat(&self, orders: &Sender<Order>) {
         loop {
-            let every = self.every();
-            let beat = Beat { every, ..self.0.current.beat() };
-            if orders.send(Order::Beat(beat)).await.is_err() {
+            let interval = self.every();
+            let beat = Heartbeat { interval, ..self.0.current.beat() };
+            if orders.send(Order::Heartbeat(beat)).await.is_err() {
                 return;
             }
-            task::sleep(every).await;
+            task::sleep(interval).await;
         }
     }
 
--- a/crates/daemon/src/entry/owner.rs
+++ b/crates/daemon/src/entry/owner.rs
@@ -382,9 +382,9 @@
                     Err(elsewhere) => PeerReply::NotHome { owner: elsewhere.owner, epoch: elsewhere.epoch },
                 }
             }
-            PeerRequest::Beat(beat) => {
+            PeerRequest::Heartbeat(beat) => {
                 self.current.heard(from, &beat);
-                PeerReply::Beat(self.current.beat())
+                PeerReply::Heartbeat(self.current.beat())
             }
             PeerRequest::CrashStatus { customer, fingerprint, crashed } => {
                 PeerReply::CrashStatus(self.strike(now, &customer, fingerprint, crashed))
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -9,7 +9,7 @@
 use tarragonhill_core::{
     Clock, Time,
     freshness::Freshness,
-    message::Beat,
+    message::Heartbeat,
     settings::{self, Row, Snapshot},
 };
 use tarragonhill_table::{Rows, Table, TableError};
@@ -50,14 +50,14 @@
     }
 
     /// A heartbeat that says which version is in force and how old that is.
-    pub(crate) fn beat(&self) -> Beat {
+    pub(crate) fn beat(&self) -> Heartbeat {
         let inner = self.lock();
         let age = inner.freshness.age(self.clock.now());
-        Beat { version: inner.snapshot.version, age, ..Beat::default() }
+        Heartbeat { version: inner.snapshot.version, age, ..Heartbeat::default() }
     }
 
     /// Takes a peer's heartbeat, and asks the table if the peer has newer settings.
-    pub(crate) fn heard(&self, peer: &Arc<str>, beat: &Beat) {
+    pub(crate) fn heard(&self, peer: &Arc<str>, beat: &Heartbeat) {
         let now = self.clock.now();
         self.freshness(|freshness| freshness.heard(now, peer, beat));
         if beat.version > self.get().version {
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -5,7 +5,7 @@
 use tarragonhill_core::{
     clock::micros,
     id::{Attempt, Request},
-    message::{Beat, Event, Load, Order, PeerReply, PeerRequest, Work},
+    message::{Event, Heartbeat, Load, Order, PeerReply, PeerRequest, Work},
 };
 
 use crate::proto::{self, event, order, peer_reply, peer_request};
@@ -91,23 +91,23 @@
     })
 }
 
-impl From<Beat> for proto::Beat {
-    fn from(beat: Beat) -> Self {
+impl From<Heartbeat> for proto::Beat {
+    fn from(beat: Heartbeat) -> Self {
         Self {
             version: beat.version,
             age_us: micros(beat.age),
-            every_us: micros(beat.every),
+            every_us: micros(beat.interval),
             loads: beat.loads.into_iter().map(proto::Load::from).collect(),
         }
     }
 }
 
-impl From<proto::Beat> for Beat {
+impl From<proto::Beat> for Heartbeat {
     fn from(sent: proto::Beat) -> Self {
         Self {
             version: sent.version,
             age: Duration::from_micros(sent.age_us),
-            every: Duration::from_micros(sent.every_us),
+            interval: Duration::from_micros(sent.every_us),
             loads: sent.loads.into_iter().map(Load::from).collect(),
         }
     }
@@ -164,7 +164,7 @@
                 idempotency_key: idempotency_key.to_string(),
             }),
             Order::Cancel(attempt) => order::Body::Cancel(attempt.into()),
-            Order::Beat(beat) => order::Body::Beat(beat.into()),
+            Order::Heartbeat(beat) => order::Body::Beat(beat.into()),
         };
         Self { body: Some(body) }
     }
@@ -197,7 +197,7 @@
                 idempotency_key: call.idempotency_key.into(),
             },
             order::Body::Cancel(attempt) => Self::Cancel(attempt.into()),
-            order::Body::Beat(beat) => Self::Beat(beat.into()),
+            order::Body::Beat(beat) => Self::Heartbeat(beat.into()),
         })
     }
 }
@@ -237,7 +237,7 @@
                 status: status.into(),
                 body,
             }),
-            Event::Beat(beat) => event::Body::Beat(beat.into()),
+            Event::Heartbeat(beat) => event::Body::Beat(beat.into()),
         };
         Self { body: Some(body) }
     }
@@ -278,7 +278,7 @@
                 status: status(answered.status)?,
                 body: answered.body,
             },
-            event::Body::Beat(beat) => Self::Beat(beat.into()),
+            event::Body::Beat(beat) => Self::Heartbeat(beat.into()),
         })
     }
 }
@@ -294,7 +294,7 @@
                 refund: loan.refund,
                 serial: loan.serial,
             }),
-            PeerRequest::Beat(beat) => Self::Beat(beat.into()),
+            PeerRequest::Heartbeat(beat) => Self::Beat(beat.into()),
             PeerRequest::CrashStatus { customer, fingerprint, crashed } => {
                 Self::Strike(proto::Strike { customer: customer.to_string(), fingerprint, crashed })
             }
@@ -319,7 +319,7 @@
                     serial: borrow.serial,
                 },
             },
-            peer_request::Body::Beat(beat) => Self::Beat(beat.into()),
+            peer_request::Body::Beat(beat) => Self::Heartbeat(beat.into()),
             peer_request::Body::Strike(strike) => Self::CrashStatus {
                 customer: strike.customer.into(),
                 fingerprint: strike.fingerprint,
@@ -339,7 +339,7 @@
                 term_us: micros(grant.term),
                 retry_after_us: micros(grant.retry_after),
             }),
-            PeerReply::Beat(beat) => peer_reply::Body::Beat(beat.into()),
+            PeerReply::Heartbeat(beat) => peer_reply::Body::Beat(beat.into()),
             PeerReply::CrashStatus(strike) => peer_reply::Body::Struck(proto::Struck {
                 crashes: strike.crashes,
                 quarantined_us: micros(strike.quarantined),
@@ -364,7 +364,7 @@
                 term: Duration::from_micros(lent.term_us),
                 retry_after: Duration::from_micros(lent.retry_after_us),
             }),
-            peer_reply::Body::Beat(beat) => Self::Beat(beat.into()),
+            peer_reply::Body::Beat(beat) => Self::Heartbeat(beat.into()),
             peer_reply::Body::Struck(struck) => {
                 Self::CrashStatus(tarragonhill_core::quarantine::CrashStatus {
                     crashes: struck.crashes,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -4,10 +4,10 @@
 //! [`tarragonhill_core::message`].
 //!
 //! ```
-//! use tarragonhill_core::message::{Beat, Order};
+//! use tarragonhill_core::message::{Heartbeat, Order};
 //! use tarragonhill_wire::proto;
 //!
-//! let order = Order::Beat(Beat::default());
+//! let order = Order::Heartbeat(Heartbeat::default());
 //! let sent = proto::Order::from(order.clone());
 //! assert_eq!(Order::try_from(sent), Ok(order));
 //! ```
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -13,7 +13,7 @@
         staleness::Versions,
         state::Listing,
     },
-    message::{Beat, Event, FailureCause, Load, Order, PeerReply, PeerRequest, Work},
+    message::{Event, FailureCause, Heartbeat, Load, Order, PeerReply, PeerRequest, Work},
     quarantine::CrashStatus,
     quota::{Grant, Loan},
 };
@@ -43,7 +43,7 @@
     }
 }
 
-fn beat() -> Beat {
+fn beat() -> Heartbeat {
     let load = Load {
         endpoint: name("decode"),
         free_pieces: 1,
@@ -52,7 +52,7 @@
         running: 4,
         leaving: true,
     };
-    Beat { version: 9, age: SPAN, every: SPAN, loads: vec![load] }
+    Heartbeat { version: 9, age: SPAN, interval: SPAN, loads: vec![load] }
 }
 
 #[test]
@@ -70,7 +70,7 @@
             idempotency_key: name("k"),
         },
         Order::Cancel(attempt()),
-        Order::Beat(beat()),
+        Order::Heartbeat(beat()),
     ] {
         assert_eq!(Order::try_from(proto::Order::from(order.clone())), Ok(order));
     }
@@ -87,7 +87,7 @@
         Event::Ended { attempt, total: 6 },
         Event::Failed { attempt, cause: FailureCause::Evicted },
         Event::Answered { attempt, status: 204, body: vec![1] },
-        Event::Beat(beat()),
+        Event::Heartbeat(beat()),
     ] {
         assert_eq!(Event::try_from(proto::Event::from(event.clone())), Ok(event));
     }
@@ -98,7 +98,7 @@
     let loan = Loan { tokens: 1, minimum: 2, unspent: 3, refund: 4, serial: 5 };
     for ask in [
         PeerRequest::Borrow { customer: name("faculty"), loan },
-        PeerRequest::Beat(beat()),
+        PeerRequest::Heartbeat(beat()),
         PeerRequest::CrashStatus { customer: name("faculty"), fingerprint: u64::MAX, crashed: true },
         PeerRequest::Renew { incarnation: 8 },
         PeerRequest::RefreshHomes,
@@ -107,7 +107,7 @@
     }
     for answer in [
         PeerReply::Lent(Grant { tokens: 1, term: SPAN, retry_after: SPAN }),
-        PeerReply::Beat(beat()),
+        PeerReply::Heartbeat(beat()),
         PeerReply::CrashStatus(CrashStatus { crashes: 2, quarantined: SPAN }),
         PeerReply::Renewed { granted: true },
         PeerReply::Acknowledged,
