--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -1,7 +1,7 @@
 //! Requests that crash the endpoints they run on.
 //!
 //! Every request running when an endpoint crashes is a suspect. A fingerprint (customer and body)
-//! seen at [`CRASHES`] crashes is refused for [`QUARANTINE`]. The count lives at the customer's
+//! seen at [`CRASH_LIMIT`] crashes is refused for [`QUARANTINE`]. The count lives at the customer's
 //! home, so sending the request again through another entry does not reset it.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
@@ -11,7 +11,7 @@
 use crate::clock::Time;
 
 /// Crashes after which a fingerprint is refused.
-pub const CRASHES: u32 = 2;
+pub const CRASH_LIMIT: u32 = 2;
 /// How long it stays refused, and how long a single crash is remembered.
 pub const QUARANTINE: Duration = Duration::from_secs(600);
 /// Most fingerprints remembered; the oldest go first.
@@ -34,7 +34,7 @@
 
 /// Crash counts by customer and fingerprint.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct Tracker {
     records: BTreeMap<(Arc<str>, u64), Record>,
 }
 
@@ -54,19 +54,19 @@
     }
 }
 
-impl Ledger {
+impl Tracker {
     /// Counts a crash.
-    pub fn crashed(&mut self, now: Time, customer: &Arc<str>, fingerprint: u64) -> CrashStatus {
+    pub fn record_crash(&mut self, now: Time, customer: &Arc<str>, fingerprint: u64) -> CrashStatus {
         self.forget_old(now);
         let record =
             self.records.entry((customer.clone(), fingerprint)).or_insert(Record { crashes: 0, last: now });
         record.crashes += 1;
         record.last = now;
-        self.look_up(now, customer, fingerprint)
+        self.status(now, customer, fingerprint)
     }
 
     /// What is known of the fingerprint.
-    pub fn look_up(&self, now: Time, customer: &Arc<str>, fingerprint: u64) -> CrashStatus {
+    pub fn status(&self, now: Time, customer: &Arc<str>, fingerprint: u64) -> CrashStatus {
         let Some(record) = self.records.get(&(customer.clone(), fingerprint)) else {
             return CrashStatus::default();
         };
@@ -74,12 +74,12 @@
         if left.is_zero() {
             return CrashStatus::default();
         }
-        let quarantined = if record.crashes >= CRASHES { left } else { Duration::ZERO };
+        let quarantined = if record.crashes >= CRASH_LIMIT { left } else { Duration::ZERO };
         CrashStatus { crashes: record.crashes, quarantined }
     }
 
     /// A suspect that ran to its end is cleared.
-    pub fn cleared(&mut self, customer: &Arc<str>, fingerprint: u64) {
+    pub fn clear(&mut self, customer: &Arc<str>, fingerprint: u64) {
         self.records.remove(&(customer.clone(), fingerprint));
     }
 
--- a/crates/daemon/src/entry/owner.rs
+++ b/crates/daemon/src/entry/owner.rs
@@ -82,7 +82,7 @@
     waiting: BTreeMap<Request, Sender<Verdict>>,
     view: View,
     budget: Budget,
-    quarantine: quarantine::Ledger,
+    quarantine: quarantine::Tracker,
     /// Prompt tokens a second.
     speed: Option<f64>,
 }
@@ -112,7 +112,7 @@
             waiting: BTreeMap::new(),
             view: View::default(),
             budget: Budget::default(),
-            quarantine: quarantine::Ledger::default(),
+            quarantine: quarantine::Tracker::default(),
             speed: None,
         }
     }
@@ -174,7 +174,7 @@
             Command::Strike(customer, fingerprint, crashed, reply) => {
                 let _ = reply.try_send(self.strike(now, &customer, fingerprint, crashed));
             }
-            Command::Clear(customer, fingerprint) => self.quarantine.cleared(&customer, fingerprint),
+            Command::Clear(customer, fingerprint) => self.quarantine.clear(&customer, fingerprint),
             Command::Ask(from, ask, reply) => {
                 let _ = reply.try_send(self.answer(now, &from, ask));
             }
@@ -368,8 +368,8 @@
 
     fn strike(&mut self, now: Time, customer: &Arc<str>, fingerprint: u64, crashed: bool) -> CrashStatus {
         match crashed {
-            true => self.quarantine.crashed(now, customer, fingerprint),
-            false => self.quarantine.look_up(now, customer, fingerprint),
+            true => self.quarantine.record_crash(now, customer, fingerprint),
+            false => self.quarantine.status(now, customer, fingerprint),
         }
     }
 
