--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -13,7 +13,7 @@
 /// engine at once, and a request that crashes one crashes a second before it is known.
 const MOST: f64 = 50.0;
 /// Tries of one request, the first included.
-pub const TRIES: u32 = 3;
+pub const MAX_ATTEMPTS: u32 = 3;
 
 /// Retry budgets by customer and by endpoint.
 #[derive(Clone, Debug, Default)]
@@ -30,7 +30,7 @@
 
 impl Budget {
     /// Notes a request that succeeded.
-    pub fn earn(&mut self, customer: &Arc<str>, endpoint: &Arc<str>) {
+    pub fn record_success(&mut self, customer: &Arc<str>, endpoint: &Arc<str>) {
         for key in keys(customer, endpoint) {
             let Some(left) = self.left.get_mut(&key) else { continue };
             *left += EARNED;
@@ -42,14 +42,14 @@
 
     /// Whether a request that broke off at `endpoint` on its `number`th try may be tried again;
     /// pays for it if so.
-    pub fn spend(
+    pub fn try_spend(
         &mut self,
         customer: &Arc<str>,
         endpoint: &Arc<str>,
         number: u32,
         cause: FailureCause,
     ) -> bool {
-        if number >= TRIES || !is_retryable(cause) {
+        if number >= MAX_ATTEMPTS || !is_retryable(cause) {
             return false;
         }
         let keys = keys(customer, endpoint);
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -4,7 +4,7 @@
 
 use tarragonhill_core::{
     message::FailureCause,
-    retry::{Budget, TRIES},
+    retry::{Budget, MAX_ATTEMPTS},
 };
 
 fn names() -> (Arc<str>, Arc<str>) {
@@ -16,7 +16,8 @@
 fn retries_stop_when_everything_fails() {
     let (customer, endpoint) = names();
     let mut budget = Budget::default();
-    let spent = (0..10_000).filter(|_| budget.spend(&customer, &endpoint, 1, FailureCause::Crashed)).count();
+    let spent =
+        (0..10_000).filter(|_| budget.try_spend(&customer, &endpoint, 1, FailureCause::Crashed)).count();
     assert!((20..=100).contains(&spent), "{spent}");
 }
 
@@ -24,9 +25,9 @@
 fn success_earns_a_part_of_a_retry() {
     let (customer, endpoint) = names();
     let mut budget = Budget::default();
-    while budget.spend(&customer, &endpoint, 1, FailureCause::Crashed) {}
-    (0..10).for_each(|_| budget.earn(&customer, &endpoint));
-    let spent = (0..100).filter(|_| budget.spend(&customer, &endpoint, 1, FailureCause::Crashed)).count();
+    while budget.try_spend(&customer, &endpoint, 1, FailureCause::Crashed) {}
+    (0..10).for_each(|_| budget.record_success(&customer, &endpoint));
+    let spent = (0..100).filter(|_| budget.try_spend(&customer, &endpoint, 1, FailureCause::Crashed)).count();
     assert!((1..10).contains(&spent), "{spent}");
 }
 
@@ -34,15 +35,15 @@
 fn one_customer_cannot_spend_anothers_budget() {
     let (customer, endpoint) = names();
     let mut budget = Budget::default();
-    while budget.spend(&customer, &endpoint, 1, FailureCause::Crashed) {}
-    assert!(budget.spend(&"grants".into(), &"other".into(), 1, FailureCause::Crashed));
+    while budget.try_spend(&customer, &endpoint, 1, FailureCause::Crashed) {}
+    assert!(budget.try_spend(&"grants".into(), &"other".into(), 1, FailureCause::Crashed));
 }
 
 #[test]
 fn errors_of_the_request_and_last_tries_are_not_retried() {
     let (customer, endpoint) = names();
     let mut budget = Budget::default();
-    assert!(!budget.spend(&customer, &endpoint, 1, FailureCause::Failed));
-    assert!(!budget.spend(&customer, &endpoint, TRIES, FailureCause::Crashed));
+    assert!(!budget.try_spend(&customer, &endpoint, 1, FailureCause::Failed));
+    assert!(!budget.try_spend(&customer, &endpoint, MAX_ATTEMPTS, FailureCause::Crashed));
     assert!(budget.is_empty());
 }
--- a/crates/daemon/src/entry/owner.rs
+++ b/crates/daemon/src/entry/owner.rs
@@ -166,10 +166,10 @@
             Command::Prefilled(tokens, took) => self.prefilled(tokens, took),
             Command::Loads(loads) => loads.into_iter().for_each(|load| self.view.report(now, load)),
             Command::Link(endpoints, up) => self.view.link(endpoints.into_iter(), up),
-            Command::Earn(customer, endpoint) => self.budget.earn(&customer, &endpoint),
+            Command::Earn(customer, endpoint) => self.budget.record_success(&customer, &endpoint),
             Command::Retry(failure, reply) => {
                 let Failure { customer, endpoint, number, cause } = failure;
-                let _ = reply.try_send(self.budget.spend(&customer, &endpoint, number, cause));
+                let _ = reply.try_send(self.budget.try_spend(&customer, &endpoint, number, cause));
             }
             Command::Strike(customer, fingerprint, crashed, reply) => {
                 let _ = reply.try_send(self.strike(now, &customer, fingerprint, crashed));
