--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -278,7 +278,7 @@
             let Customer { name, rate, burst, .. } = &**customer;
             let asked = admission.tokens;
             let message = format!("{name} has {left} tokens left, asked {asked}; rate {rate}, burst {burst}");
-            return Err(Refusal::not_run(Code::OverRate, message).retry_after(wait));
+            return Err(Refusal::not_run(Code::OverRate, message).with_retry_after(wait));
         }
         self.budget.request(now, &admission.service);
         Ok(())
@@ -550,5 +550,5 @@
 }
 
 fn no_endpoint() -> Refusal {
-    Refusal::not_run(Code::NoEndpoint, "no endpoint can be reached").retry_after(COME_BACK)
+    Refusal::not_run(Code::NoEndpoint, "no endpoint can be reached").with_retry_after(COME_BACK)
 }
--- a/crates/core/src/once.rs
+++ b/crates/core/src/once.rs
@@ -79,7 +79,7 @@
         State::Started if found.token == token => Step::Dispatch,
         // Another request wrote the record. It may have dispatched, be about to, or have died in
         // between: nothing proves that the call did not run, so this one never sends it again.
-        State::Started => Step::Refuse(Refusal::run(
+        State::Started => Step::Refuse(Refusal::may_have_run(
             Code::InProgress,
             "a call under this idempotency key has started and its outcome is not recorded",
         )),
@@ -91,7 +91,7 @@
 
 /// The refusal for a call whose outcome cannot be known.
 pub fn unknown() -> Refusal {
-    Refusal::run(
+    Refusal::may_have_run(
         Code::OutcomeUnknown,
         "the call was sent once and its outcome is not known; it will not be sent again",
     )
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -99,12 +99,12 @@
     }
 
     /// A refusal of a request that may have run in part.
-    pub fn run(code: Code, message: impl Into<String>) -> Self {
+    pub fn may_have_run(code: Code, message: impl Into<String>) -> Self {
         Self { code, message: message.into(), not_run: false, retry_after: None }
     }
 
     /// The same refusal, telling the caller when to come back.
-    pub fn retry_after(mut self, span: Duration) -> Self {
+    pub fn with_retry_after(mut self, span: Duration) -> Self {
         self.retry_after = Some(span);
         self
     }
--- a/crates/daemon/src/entry/context.rs
+++ b/crates/daemon/src/entry/context.rs
@@ -51,9 +51,8 @@
     /// check, so that a process that was paused notices when it wakes up.
     pub(crate) fn check_serving(&self) -> Result<(), Refusal> {
         if self.leaving.load(Ordering::Relaxed) {
-            return Err(
-                Refusal::not_run(Code::ShuttingDown, "this entry is shutting down").retry_after(CATCH_UP)
-            );
+            return Err(Refusal::not_run(Code::ShuttingDown, "this entry is shutting down")
+                .with_retry_after(CATCH_UP));
         }
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let now = self.clock.now();
@@ -61,7 +60,7 @@
             return Ok(());
         }
         let message = "this entry cannot tell whether its settings are the newest";
-        Err(Refusal::not_run(Code::SettingsUnconfirmed, message).retry_after(CATCH_UP))
+        Err(Refusal::not_run(Code::SettingsUnconfirmed, message).with_retry_after(CATCH_UP))
     }
 
     /// Counts a crash here and tells all other entries, so that sending the request again through
--- a/crates/daemon/src/entry/once.rs
+++ b/crates/daemon/src/entry/once.rs
@@ -187,7 +187,7 @@
             stages::Failure::Full { retry_after, .. } => {
                 self.finish(version, State::Abandoned).await;
                 let refusal = Refusal::not_run(Code::Overloaded, "the service has no room");
-                refusal.retry_after(retry_after.max(PAUSE))
+                refusal.with_retry_after(retry_after.max(PAUSE))
             }
             stages::Failure::Refused(_) | stages::Failure::Broken { .. } => {
                 self.finish(version, State::Unknown).await;
@@ -199,5 +199,5 @@
 
 fn unavailable(why: &str) -> Refusal {
     let message = format!("the record of the call cannot be written, so it was not sent: {why}");
-    Refusal::not_run(Code::RecordUnavailable, message).retry_after(Duration::from_secs(1))
+    Refusal::not_run(Code::RecordUnavailable, message).with_retry_after(Duration::from_secs(1))
 }
--- a/crates/daemon/src/entry/stages.rs
+++ b/crates/daemon/src/entry/stages.rs
@@ -134,11 +134,11 @@
         }
         Some(Verdict::OverRate(_, span)) => {
             Err(Refusal::not_run(Code::OverRate, "the customer has spent its rate and burst")
-                .retry_after(span))
+                .with_retry_after(span))
         }
         Some(Verdict::HomeSilent(_)) | None => {
             let message = "the home of the customer's rate cannot be reached";
-            Err(Refusal::not_run(Code::QuotaUnavailable, message).retry_after(context.rate_wait))
+            Err(Refusal::not_run(Code::QuotaUnavailable, message).with_retry_after(context.rate_wait))
         }
     }
 }
--- a/crates/daemon/src/entry/stages/attempt.rs
+++ b/crates/daemon/src/entry/stages/attempt.rs
@@ -99,8 +99,13 @@
         Code::Overloaded | Code::NoEndpoint if not_run => {
             Failure::Full { endpoint: endpoint.clone(), retry_after }
         }
-        Code::BadKey => Failure::Refused(Refusal { not_run, ..Refusal::run(code, "the key was withdrawn") }),
-        _ => Failure::Refused(Refusal { not_run, ..Refusal::run(code, "an agent refused the request") }),
+        Code::BadKey => {
+            Failure::Refused(Refusal { not_run, ..Refusal::may_have_run(code, "the key was withdrawn") })
+        }
+        _ => Failure::Refused(Refusal {
+            not_run,
+            ..Refusal::may_have_run(code, "an agent refused the request")
+        }),
     }
 }
 
--- a/crates/daemon/src/entry/stages/complete.rs
+++ b/crates/daemon/src/entry/stages/complete.rs
@@ -40,7 +40,7 @@
     let outbound = serve(context, ticket, &completion, output).or(gone).await;
     match outbound {
         Ok(Some(outbound)) => Ok(outbound),
-        Ok(None) | Err(None) => Err(Refusal::run(Code::Broken, "the answer was lost")),
+        Ok(None) | Err(None) => Err(Refusal::may_have_run(Code::Broken, "the answer was lost")),
         Err(Some(refusal)) => Err(refusal),
     }
 }
@@ -82,7 +82,7 @@
 }
 
 fn caller_left() -> Refusal {
-    Refusal::run(Code::Cancelled, "the caller left")
+    Refusal::may_have_run(Code::Cancelled, "the caller left")
 }
 
 fn check_size(context: &Context, completion: &Completion) -> Result<(), Refusal> {
@@ -157,7 +157,7 @@
         return Ok(());
     }
     let message = "this request has crashed endpoints and is refused for a while";
-    Err(Refusal::not_run(Code::Quarantined, message).retry_after(strike.quarantined))
+    Err(Refusal::not_run(Code::Quarantined, message).with_retry_after(strike.quarantined))
 }
 
 /// What the attempts of one request have come to so far.
@@ -261,10 +261,10 @@
 
 fn overloaded(ran: bool, retry_after: Duration) -> Refusal {
     let message = "no endpoint can meet the target for the first token";
-    let refusal = Refusal { not_run: !ran, ..Refusal::run(Code::Overloaded, message) };
-    refusal.retry_after(retry_after.max(Duration::from_millis(200)))
+    let refusal = Refusal { not_run: !ran, ..Refusal::may_have_run(Code::Overloaded, message) };
+    refusal.with_retry_after(retry_after.max(Duration::from_millis(200)))
 }
 
 fn broken(cause: FailureCause) -> Refusal {
-    Refusal::run(Code::Broken, format!("the work broke off ({cause}) and could not be resumed"))
+    Refusal::may_have_run(Code::Broken, format!("the work broke off ({cause}) and could not be resumed"))
 }
--- a/crates/daemon/src/entry/stages/decode.rs
+++ b/crates/daemon/src/entry/stages/decode.rs
@@ -46,7 +46,7 @@
             Event::Tokens { first_index, texts, .. } => {
                 output.take(first_index, &texts).await.map_err(|error| failure(error, endpoint))?;
                 if is_cut(context, ticket) {
-                    return Err(Refusal::run(Code::BadKey, "the key was withdrawn").into());
+                    return Err(Refusal::may_have_run(Code::BadKey, "the key was withdrawn").into());
                 }
             }
             Event::Ended { total, .. } if total == output.next() => {
@@ -63,6 +63,6 @@
 fn failure(error: TokenError, endpoint: &std::sync::Arc<str>) -> Failure {
     match error {
         TokenError::Gap => Failure::Broken { endpoint: endpoint.clone(), cause: FailureCause::Crashed },
-        TokenError::CallerGone => Refusal::run(Code::Cancelled, "the caller left").into(),
+        TokenError::CallerGone => Refusal::may_have_run(Code::Cancelled, "the caller left").into(),
     }
 }
--- a/crates/daemon/src/entry/stages/plain.rs
+++ b/crates/daemon/src/entry/stages/plain.rs
@@ -58,13 +58,13 @@
             Err(Failure::Refused(refusal)) => return Err(refusal),
             Err(Failure::Full { retry_after, .. }) => {
                 let refusal = Refusal::not_run(Code::Overloaded, "the service has no room");
-                return Err(refusal.retry_after(retry_after.max(Duration::from_millis(200))));
+                return Err(refusal.with_retry_after(retry_after.max(Duration::from_millis(200))));
             }
             Err(Failure::Broken { endpoint, cause }) => {
                 let customer = ticket.key.customer.clone();
                 let failure = control::Failure { customer, endpoint: endpoint.clone(), number, cause };
                 if !context.control.retry(failure).await {
-                    return Err(Refusal::run(Code::Broken, format!("the call broke off ({cause})")));
+                    return Err(Refusal::may_have_run(Code::Broken, format!("the call broke off ({cause})")));
                 }
                 context.metrics.retries.inc();
                 tried.insert(endpoint);
--- a/crates/daemon/src/entry/stages/plan.rs
+++ b/crates/daemon/src/entry/stages/plan.rs
@@ -109,5 +109,5 @@
 /// The refusal when no endpoint can be chosen.
 pub(super) fn no_endpoint() -> Failure {
     let refusal = Refusal::not_run(Code::NoEndpoint, "no endpoint can take this work now");
-    Failure::Refused(refusal.retry_after(Duration::from_secs(1)))
+    Failure::Refused(refusal.with_retry_after(Duration::from_secs(1)))
 }
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -212,7 +212,7 @@
     fn overloaded(&self, now: Time, service: &str) -> Refusal {
         let why = self.state.describe(now, service);
         let message = format!("no memory becomes free in time: {why}");
-        Refusal::not_run(Code::Overloaded, message).retry_after(self.state.memory_free_after(service))
+        Refusal::not_run(Code::Overloaded, message).with_retry_after(self.state.memory_free_after(service))
     }
 
     fn update(&mut self, now: Time, update: Update) {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -238,14 +238,14 @@
 /// an endpoint before it, or beside it, may have run the request and lost the answer.
 fn truthful(inbound: &Inbound, refusal: Refusal) -> Refusal {
     if refusal.not_run && inbound.may_have_run() {
-        return Refusal::run(Code::OutcomeUnknown, refusal.message);
+        return Refusal::may_have_run(Code::OutcomeUnknown, refusal.message);
     }
     refusal
 }
 
 fn out_of_time(inbound: &Inbound) -> Refusal {
     if inbound.may_have_run() {
-        return Refusal::run(Code::Timeout, "no answer in time");
+        return Refusal::may_have_run(Code::Timeout, "no answer in time");
     }
     Refusal::not_run(Code::Overloaded, "no place in time")
 }
--- a/crates/gateway/src/identify.rs
+++ b/crates/gateway/src/identify.rs
@@ -37,7 +37,7 @@
         Some(catalog) => look_up(catalog, &head, &call).map_err(|unknown| refusal(unknown, is_behind)),
         None => {
             let refusal = Refusal::not_run(Code::SettingsUnconfirmed, "no configuration is known yet");
-            Err(refusal.retry_after(NO_CATALOG))
+            Err(refusal.with_retry_after(NO_CATALOG))
         }
     };
     let (route, customer) = found?;
@@ -70,7 +70,7 @@
         // A final answer would be wrong if the route or key is one that has just been added.
         _ if is_behind => {
             let message = "a newer configuration may know the route and the key";
-            Refusal::not_run(Code::SettingsUnconfirmed, message).retry_after(RETRY_BEHIND)
+            Refusal::not_run(Code::SettingsUnconfirmed, message).with_retry_after(RETRY_BEHIND)
         }
         Unknown::Route => Refusal::not_run(Code::NotFound, "no route leads there"),
         Unknown::Key => Refusal::not_run(Code::BadKey, "the key is unknown"),
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -168,7 +168,7 @@
         return Ok(());
     }
     Err(Refusal::not_run(Code::ShuttingDown, "the process stops before the stream would end")
-        .retry_after(ELSEWHERE))
+        .with_retry_after(ELSEWHERE))
 }
 
 /// Deals with a run that broke off: gives the reason if it may run again, nothing if the stream is
@@ -192,14 +192,14 @@
 
 fn exhausted(inbound: &Inbound, answer: &Answer, reason: String) -> Result<(), Refusal> {
     if answer.is_open() && !inbound.may_have_run() {
-        return Err(Refusal::not_run(Code::Overloaded, reason).retry_after(COME_BACK));
+        return Err(Refusal::not_run(Code::Overloaded, reason).with_retry_after(COME_BACK));
     }
     cut(inbound, answer, reason).map(|_| ())
 }
 
 fn cut(inbound: &Inbound, answer: &Answer, reason: String) -> Result<Option<String>, Refusal> {
     if answer.is_open() {
-        return Err(Refusal::run(Code::Broken, reason));
+        return Err(Refusal::may_have_run(Code::Broken, reason));
     }
     spdlog::warn!("stream cut", kv: { request = inbound.id(), reason = reason.as_str() });
     Ok(None)
--- a/crates/gateway/src/whole.rs
+++ b/crates/gateway/src/whole.rs
@@ -69,7 +69,7 @@
             Attempt::Broken(reason) => {
                 runs += used;
                 if !inbound.may_repeat(runs) {
-                    let refusal = Refusal::run(Code::OutcomeUnknown, reason);
+                    let refusal = Refusal::may_have_run(Code::OutcomeUnknown, reason);
                     return give_up(inbound, answer, failure, refusal).await;
                 }
                 reason
@@ -86,9 +86,9 @@
 
 fn exhausted(inbound: &Inbound, reason: String) -> Refusal {
     if inbound.may_have_run() {
-        return Refusal::run(Code::OutcomeUnknown, reason);
+        return Refusal::may_have_run(Code::OutcomeUnknown, reason);
     }
-    Refusal::not_run(Code::Overloaded, reason).retry_after(COME_BACK)
+    Refusal::not_run(Code::Overloaded, reason).with_retry_after(COME_BACK)
 }
 
 /// An endpoint's own failure goes before a refusal of ours: it is what happened.
