--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -280,7 +280,7 @@
             (0..n).map(|number| (name("endpoint", number), Arc::new(endpoint(number)))).collect();
         let mut view = View::default();
         for (name, _) in &endpoints {
-            view.report(Time::ZERO, load(name));
+            view.record_load(Time::ZERO, load(name));
         }
         let mut rng = ChaCha8Rng::seed_from_u64(1);
         let began = Instant::now();
@@ -297,7 +297,7 @@
             };
             let chosen = view.place(now, &mut rng, &search);
             if let Some(chosen) = chosen {
-                view.done(&chosen, attempt);
+                view.remove_sent(&chosen, attempt);
             }
         }
         let cpu_us_per_s = began.elapsed().as_secs_f64() * 1e6;
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -37,7 +37,7 @@
 
 impl Policy {
     /// Whether decode memory is claimed before the prefill.
-    pub fn holds(self) -> bool {
+    pub fn uses_holds(self) -> bool {
         matches!(self, Self::HoldFirst | Self::Current)
     }
 
@@ -119,7 +119,7 @@
 
 impl View {
     /// Takes a load report.
-    pub fn report(&mut self, now: Time, load: Load) {
+    pub fn record_load(&mut self, now: Time, load: Load) {
         let seen = self.seen.entry(load.endpoint.clone()).or_default();
         seen.down = false;
         seen.sent.retain(|_, sent| now.since(sent.at) < IN_FLIGHT);
@@ -127,19 +127,19 @@
     }
 
     /// Notes that the link to the agent of these endpoints is up or down.
-    pub fn link(&mut self, endpoints: impl Iterator<Item = Arc<str>>, up: bool) {
+    pub fn set_link_up(&mut self, endpoints: impl Iterator<Item = Arc<str>>, up: bool) {
         for endpoint in endpoints {
             self.seen.entry(endpoint).or_default().down = !up;
         }
     }
 
     /// Avoids an endpoint that has just refused for lack of room.
-    pub fn refused(&mut self, now: Time, endpoint: &Arc<str>, span: Duration) {
+    pub fn record_refusal(&mut self, now: Time, endpoint: &Arc<str>, span: Duration) {
         self.seen.entry(endpoint.clone()).or_default().avoid = now.plus(span);
     }
 
     /// Forgets a send: it ended, was refused or given up.
-    pub fn done(&mut self, endpoint: &str, attempt: Attempt) {
+    pub fn remove_sent(&mut self, endpoint: &str, attempt: Attempt) {
         if let Some(seen) = self.seen.get_mut(endpoint) {
             seen.sent.remove(&attempt);
         }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -50,7 +50,7 @@
     fn new(count: usize) -> Self {
         let mut view = View::default();
         let endpoints = endpoints(count);
-        endpoints.iter().for_each(|(name, _)| view.report(Time::ZERO, load(name, 40)));
+        endpoints.iter().for_each(|(name, _)| view.record_load(Time::ZERO, load(name, 40)));
         Self { view, rng: ChaCha8Rng::seed_from_u64(1), endpoints, sent: 0 }
     }
 
@@ -94,15 +94,15 @@
 #[test]
 fn endpoints_without_a_link_or_leaving_are_never_chosen() {
     let mut fleet = Fleet::new(3);
-    fleet.view.link(["e0".into(), "e1".into()].into_iter(), false);
+    fleet.view.set_link_up(["e0".into(), "e1".into()].into_iter(), false);
     assert_eq!(fleet.place(Time::ZERO, &[]).as_deref(), Some("e2"));
-    fleet.view.report(Time::ZERO, Load { leaving: true, ..load(&"e2".into(), 40) });
+    fleet.view.record_load(Time::ZERO, Load { leaving: true, ..load(&"e2".into(), 40) });
     assert_eq!(fleet.place(Time::ZERO, &[]), None);
 }
 
 #[test]
 fn endpoint_that_just_refused_is_passed_over_for_a_while() {
     let mut fleet = Fleet::new(2);
-    fleet.view.refused(Time::ZERO, &"e0".into(), Duration::from_millis(50));
+    fleet.view.record_refusal(Time::ZERO, &"e0".into(), Duration::from_millis(50));
     assert!((0..10).all(|_| fleet.place(Time::ZERO, &[]).as_deref() == Some("e1")));
 }
--- a/crates/daemon/src/entry/owner.rs
+++ b/crates/daemon/src/entry/owner.rs
@@ -161,11 +161,11 @@
             Command::Place(placement, reply) => {
                 let _ = reply.try_send(self.place(now, &placement));
             }
-            Command::Done(endpoint, attempt) => self.view.done(&endpoint, attempt),
-            Command::Avoid(endpoint, span) => self.view.refused(now, &endpoint, span),
+            Command::Done(endpoint, attempt) => self.view.remove_sent(&endpoint, attempt),
+            Command::Avoid(endpoint, span) => self.view.record_refusal(now, &endpoint, span),
             Command::Prefilled(tokens, took) => self.prefilled(tokens, took),
-            Command::Loads(loads) => loads.into_iter().for_each(|load| self.view.report(now, load)),
-            Command::Link(endpoints, up) => self.view.link(endpoints.into_iter(), up),
+            Command::Loads(loads) => loads.into_iter().for_each(|load| self.view.record_load(now, load)),
+            Command::Link(endpoints, up) => self.view.set_link_up(endpoints.into_iter(), up),
             Command::Earn(customer, endpoint) => self.budget.record_success(&customer, &endpoint),
             Command::Retry(failure, reply) => {
                 let Failure { customer, endpoint, number, cause } = failure;
--- a/crates/daemon/src/entry/stages/plan.rs
+++ b/crates/daemon/src/entry/stages/plan.rs
@@ -59,7 +59,7 @@
 
 /// Time left until the first token is due.
 pub(super) fn slack(context: &Context, ticket: &Ticket) -> Duration {
-    if !context.policy.holds() {
+    if !context.policy.uses_holds() {
         return NO_SLACK;
     }
     context.first_token.saturating_sub(context.clock.now().since(ticket.waiting))
@@ -67,7 +67,7 @@
 
 /// Time left until the request is given up.
 pub(super) fn patience(context: &Context, ticket: &Ticket) -> Duration {
-    if !context.policy.holds() {
+    if !context.policy.uses_holds() {
         return NO_SLACK;
     }
     let all = if ticket.suspect { context.patience.max(SUSPECT_PATIENCE) } else { context.patience };
@@ -92,7 +92,7 @@
         tried: tried.clone(),
     };
     let placed = context.control.place(placement).await.ok_or_else(no_endpoint)?;
-    if !context.policy.holds() {
+    if !context.policy.uses_holds() {
         return Ok(Planned { decode: placed, ready_in: Duration::ZERO, held: false });
     }
     let work = work(context, ticket, completion, dispatch, &placed.endpoint);
