--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -46,7 +46,7 @@
 }
 
 /// Part that is left, after `passed`, of something that halves in every `half_life`.
-pub fn fading(passed: Duration, half_life: Duration) -> f64 {
+pub fn decay_factor(passed: Duration, half_life: Duration) -> f64 {
     0.5_f64.powf(passed.as_secs_f64() / half_life.as_secs_f64())
 }
 
--- a/crates/core/src/gateway/allowance.rs
+++ b/crates/core/src/gateway/allowance.rs
@@ -16,7 +16,7 @@
     catalog::Customer,
     digest::{Digest, Peers},
 };
-use crate::clock::{Time, fading, micros};
+use crate::clock::{Time, decay_factor, micros};
 
 const MICRO: i64 = 1_000_000;
 
@@ -98,7 +98,7 @@
 
     fn refill(&mut self, now: Time) {
         let passed = now.since(self.at);
-        self.small = (self.small as f64 * fading(passed, SMALL_HALF_LIFE)) as i64;
+        self.small = (self.small as f64 * decay_factor(passed, SMALL_HALF_LIFE)) as i64;
         let inflow = signed(micros(passed)) * self.rate;
         self.level = (self.level + inflow).min(self.burst);
         self.promised = (self.promised - inflow).max(0);
--- a/crates/core/src/gateway/health.rs
+++ b/crates/core/src/gateway/health.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use crate::clock::{Time, fading};
+use crate::clock::{Time, decay_factor};
 
 /// First pause after an endpoint could not be reached; doubles with each failure in a row. The
 /// shortest outages seen last some seconds, so a second failure should come soon.
@@ -115,7 +115,7 @@
 
     /// Failed part of the newest outcomes; fades without outcomes.
     pub fn failing(&self, now: Time) -> f64 {
-        self.failing * fading(now.since(self.at), HALF_LIFE)
+        self.failing * decay_factor(now.since(self.at), HALF_LIFE)
     }
 
     /// Whether it is to be left alone for now.
--- a/crates/core/src/gateway/pools.rs
+++ b/crates/core/src/gateway/pools.rs
@@ -15,7 +15,7 @@
     forecast::{Forecast, Size, memory},
     load::Loads,
 };
-use crate::clock::{Time, fading};
+use crate::clock::{Time, decay_factor};
 
 /// Requests that must have been seen before their mean says something: the sizes of prompts and
 /// answers vary by half to double, so the mean of these is right to a sixth.
@@ -67,7 +67,7 @@
 
 impl Demand {
     fn fade(&mut self, now: Time) {
-        let kept = fading(now.since(self.at), HALF_LIFE);
+        let kept = decay_factor(now.since(self.at), HALF_LIFE);
         self.requests *= kept;
         self.prompt *= kept;
         self.parts *= kept;
