--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -337,7 +337,7 @@
                 timeout: Duration::from_secs(3_600),
                 suspect: false,
             };
-            let order = Order::Prefill { work, prompt: "".into(), wait: Duration::ZERO };
+            let order = Order::Prefill { work, prompt: "".into(), delay: Duration::ZERO };
             state.step(Time::ZERO, Input::Order(1, order)).len()
         };
         (0..n).for_each(|number| {
--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -237,8 +237,8 @@
             Order::Hold { work, ahead } => {
                 self.enqueue(now, link, work, Task::Hold { ahead }, Duration::ZERO, actions)
             }
-            Order::Prefill { work, prompt, wait } => {
-                self.enqueue(now, link, work, Task::Prefill { prompt }, wait, actions);
+            Order::Prefill { work, prompt, delay } => {
+                self.enqueue(now, link, work, Task::Prefill { prompt }, delay, actions);
             }
             Order::Call { work, method, path, body, idempotency_key } => {
                 let call = Call { method, path, body, idempotency_key };
@@ -271,7 +271,7 @@
         link: Link,
         work: Work,
         task: Task,
-        wait: Duration,
+        delay: Duration,
         actions: &mut Vec<Action>,
     ) {
         let role = match task {
@@ -285,7 +285,7 @@
         }
         let weight = self.settings.customers.get(&work.customer).map_or(1, |customer| customer.weight);
         let Some(lane) = self.lanes.get_mut(&work.endpoint) else { return };
-        lane.accept(now, link, weight, work, task, wait, actions);
+        lane.accept(now, link, weight, work, task, delay, actions);
     }
 
     fn import(&mut self, now: Time, import: Import, held: bool, actions: &mut Vec<Action>) {
--- a/crates/core/src/agent/lane.rs
+++ b/crates/core/src/agent/lane.rs
@@ -127,7 +127,7 @@
         weight: u32,
         work: Work,
         task: Task,
-        wait: Duration,
+        delay: Duration,
         actions: &mut Vec<Action>,
     ) {
         let (attempt, until) = (work.attempt, now.plus(work.timeout));
@@ -140,8 +140,8 @@
         }
         match admission {
             Admission::Hopeless(span) => actions.push(refuse(link, attempt, Code::Overloaded, span)),
-            Admission::Timely | Admission::Late if !wait.is_zero() => {
-                self.delayed.push((now.plus(wait), job))
+            Admission::Timely | Admission::Late if !delay.is_zero() => {
+                self.delayed.push((now.plus(delay), job))
             }
             Admission::Timely => self.waiting.push(job),
             Admission::Late => self.waiting.push_late(job),
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -56,7 +56,7 @@
         /// The prompt.
         prompt: Arc<str>,
         /// Start no earlier than this from now: the decode place falls free only then.
-        wait: Duration,
+        delay: Duration,
     },
     /// Orders the import of a prefill result and its decode.
     Decode {
--- a/crates/core/tests/agent.rs
+++ b/crates/core/tests/agent.rs
@@ -75,7 +75,7 @@
 
 fn prefill(number: u32, customer: &str) -> Input {
     let work = work(number, "prefill", customer);
-    Input::Order(LINK, Order::Prefill { work, prompt: "p".into(), wait: Duration::ZERO })
+    Input::Order(LINK, Order::Prefill { work, prompt: "p".into(), delay: Duration::ZERO })
 }
 
 fn decode(number: u32) -> Input {
--- a/crates/daemon/src/entry/stages/prefill.rs
+++ b/crates/daemon/src/entry/stages/prefill.rs
@@ -93,14 +93,14 @@
         work.timeout = work.slack;
     }
     // A result is evicted in under a second: it must not be ready long before its place is.
-    let wait = planned.ready_in.saturating_sub(placed.prefill);
-    let order = Order::Prefill { work, prompt: completion.prompt.clone(), wait };
+    let delay = planned.ready_in.saturating_sub(placed.prefill);
+    let order = Order::Prefill { work, prompt: completion.prompt.clone(), delay };
     dispatch.send(&placed.agent, &placed.endpoint, order)?;
     let limit = patience(context, ticket) + LONGEST;
     let began = context.clock.now();
     loop {
         if let Event::Prefilled { source, kv, .. } = dispatch.next(&placed.endpoint, limit).await? {
-            let took = context.clock.now().since(began).saturating_sub(wait);
+            let took = context.clock.now().since(began).saturating_sub(delay);
             context.control.prefilled(completion.prompt_tokens(), took);
             context.control.done(&placed.endpoint, dispatch.attempt());
             return Ok(Prefilled { source, kv });
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -144,10 +144,10 @@
         let body = match message {
             Order::Hello { entry } => order::Body::Hello(proto::Hello { entry: entry.to_string() }),
             Order::Hold { work, ahead } => order::Body::Hold(proto::Hold { work: Some(work.into()), ahead }),
-            Order::Prefill { work, prompt, wait } => order::Body::Prefill(proto::Prefill {
+            Order::Prefill { work, prompt, delay } => order::Body::Prefill(proto::Prefill {
                 work: Some(work.into()),
                 prompt: prompt.to_string(),
-                wait_us: micros(wait),
+                wait_us: micros(delay),
             }),
             Order::Decode { work, source, kv, from_index, held } => order::Body::Decode(proto::Decode {
                 work: Some(work.into()),
@@ -180,7 +180,7 @@
             order::Body::Prefill(prefill) => Self::Prefill {
                 work: work(prefill.work)?,
                 prompt: prefill.prompt.into(),
-                wait: Duration::from_micros(prefill.wait_us),
+                delay: Duration::from_micros(prefill.wait_us),
             },
             order::Body::Decode(decode) => Self::Decode {
                 work: work(decode.work)?,
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -60,7 +60,7 @@
     for order in [
         Order::Hello { entry: name("entry") },
         Order::Hold { work: work(), ahead: true },
-        Order::Prefill { work: work(), prompt: name("prompt"), wait: SPAN },
+        Order::Prefill { work: work(), prompt: name("prompt"), delay: SPAN },
         Order::Decode { work: work(), source: name("a"), kv: name("b"), from_index: 5, held: true },
         Order::Call {
             work: work(),
