--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -1,10 +1,10 @@
-//! Decisions of an agent: which order runs on which of its endpoints, and when.
+//! Scheduling of work on the endpoints of one agent.
 //!
-//! [`State::step`] takes one input and returns the actions that follow. The agent is the one
-//! authority on its endpoints: what it refuses as "not run" never starts.
+//! [`State::step`] takes one input and returns the resulting actions. Only the agent starts work on
+//! its endpoints, so an order that it refuses as "not run" never starts.
 
-mod lane;
-mod waiting;
+mod queue;
+mod scheduler;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,8 +14,8 @@
 
 use crate::{
     agent::{
-        lane::{Import, Lane},
-        waiting::Task,
+        queue::Task,
+        scheduler::{Import, Scheduler},
     },
     clock::Time,
     id::Attempt,
@@ -24,95 +24,95 @@
     settings::{Endpoint, Role, Running, Snapshot},
 };
 
-/// Numbers the links of one agent process.
+/// Identifies a link (a stream from one entry) within an agent process.
 pub type Link = u64;
 
-/// How long an attempt that was given up is remembered, so that its late orders start nothing.
-const TOMBSTONE: Duration = Duration::from_secs(120);
+/// How long a cancelled attempt is remembered, so that orders arriving late do not start it.
+const TOMBSTONE_TTL: Duration = Duration::from_secs(120);
 
-/// What happens to an agent.
+/// An input of [`State::step`].
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// An order came over a link.
+    /// An order received over a link.
     Order(Link, Order),
-    /// A link is gone; nobody waits for its work any more.
+    /// A link closed; its work is cancelled.
     LinkLost(Link),
-    /// New settings are in force.
+    /// New settings apply.
     Settings(Arc<Snapshot>),
-    /// Work that an action started has ended; sent exactly once for each such action.
+    /// Work started by an action ended; sent exactly once per such action.
     Finished {
-        /// The attempt.
+        /// Attempt that the work belongs to.
         attempt: Attempt,
-        /// Where it ran.
+        /// Endpoint that ran it.
         endpoint: Arc<str>,
         /// How it ended.
         outcome: Outcome,
     },
-    /// The agent stops: nothing new starts.
+    /// The agent shuts down and accepts no new work.
     Leave,
-    /// Time has passed.
+    /// Periodic timer; drops expired tombstones.
     Tick,
 }
 
-/// How work ended.
+/// Result of work that an action started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A prefill result stands in the engine.
+    /// The prefill finished and the engine holds its KV cache.
     Prefilled {
-        /// Address of the engine.
+        /// Address of the prefill engine.
         source: Arc<str>,
-        /// Names the result there.
+        /// Identifies the KV cache on that engine.
         kv: Arc<str>,
-        /// How long the engine keeps it.
+        /// How long the engine keeps the KV cache.
         ttl: Duration,
     },
     /// All tokens were sent.
     Decoded {
-        /// How many.
+        /// Number of tokens in the answer.
         total: u32,
     },
-    /// A plain service answered.
+    /// The plain service returned a response.
     Answered {
         /// HTTP status.
         status: u16,
-        /// Body.
+        /// Response body.
         body: Vec<u8>,
     },
-    /// It broke off.
+    /// The work failed after it started.
     Failed(FailureCause),
-    /// It was aborted and the engine has let go of it.
+    /// The work was aborted and the engine has released its resources.
     Aborted,
 }
 
-/// What an agent does.
+/// An effect that the agent process carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Tells an entry.
+    /// Sends an event to the entry at the other end of the link.
     Send(Link, Event),
-    /// Runs a prefill.
+    /// Prefills the prompt.
     Prefill(Work, Arc<str>),
-    /// Imports a result and decodes it; tokens go straight to the link.
+    /// Imports a KV cache and decodes; tokens go directly to the link.
     Decode {
-        /// Where tokens go.
+        /// Link that receives the tokens.
         link: Link,
-        /// The work.
+        /// The work to decode.
         work: Work,
-        /// Address of the exporting engine.
+        /// Address of the prefill engine that exports the KV cache.
         source: Arc<str>,
-        /// Names the result there.
+        /// Identifies the KV cache on that engine.
         kv: Arc<str>,
-        /// First token index wanted.
+        /// Index of the first token to send.
         from_index: u32,
     },
     /// Calls a plain service.
     Call(Work, Call),
-    /// Stops running work and has the engine let go of it.
+    /// Aborts work on the endpoint and releases its engine resources.
     Abort(Attempt, Arc<str>),
-    /// Orders an endpoint to serve something else; carries the fencing number.
+    /// Switches an endpoint to another model or role; the generation is the fencing number.
     Serve(Arc<str>, Arc<Endpoint>),
 }
 
-/// A call of a plain service.
+/// A request to a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     /// HTTP method.
@@ -121,117 +121,117 @@
     pub path: Arc<str>,
     /// Request body.
     pub body: Vec<u8>,
-    /// The caller's idempotency key; empty for calls that may be repeated.
+    /// The caller's idempotency key; empty if the call is safe to repeat.
     pub idempotency_key: Arc<str>,
 }
 
-/// State of an agent.
+/// Scheduling state of an agent.
 #[derive(Clone, Debug)]
 pub struct State {
-    /// Names of the endpoints it fronts.
-    fronts: BTreeSet<Arc<str>>,
+    /// Endpoints that this agent serves.
+    endpoint_names: BTreeSet<Arc<str>>,
     settings: Arc<Snapshot>,
-    lanes: BTreeMap<Arc<str>, Lane>,
-    /// Attempts given up, until when they are remembered.
+    schedulers: BTreeMap<Arc<str>, Scheduler>,
+    /// Cancelled attempts and when their tombstones expire.
     tombstones: BTreeMap<Attempt, Time>,
     leaving: bool,
 }
 
 impl State {
-    /// An agent that fronts the endpoints named; they start once settings name them.
-    pub fn new(fronts: BTreeSet<Arc<str>>) -> Self {
+    /// Creates an agent for the named endpoints, which accept work once the settings contain them.
+    pub fn new(endpoint_names: BTreeSet<Arc<str>>) -> Self {
         Self {
-            fronts,
+            endpoint_names,
             settings: Arc::default(),
-            lanes: BTreeMap::new(),
+            schedulers: BTreeMap::new(),
             tombstones: BTreeMap::new(),
             leaving: false,
         }
     }
 
-    /// Takes one input and returns what follows.
+    /// Handles one input and returns the resulting actions.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Action> {
         let mut actions = Vec::new();
         match input {
-            Input::Order(link, order) => self.order(now, link, order, &mut actions),
-            Input::LinkLost(link) => self.link_lost(link, &mut actions),
-            Input::Settings(settings) => self.settle(settings, &mut actions),
+            Input::Order(link, order) => self.handle_order(now, link, order, &mut actions),
+            Input::LinkLost(link) => self.cancel_link(link, &mut actions),
+            Input::Settings(settings) => self.apply_settings(settings, &mut actions),
             Input::Finished { attempt, endpoint, outcome } => {
-                self.finished(now, attempt, &endpoint, outcome, &mut actions);
+                self.handle_finished(now, attempt, &endpoint, outcome, &mut actions);
             }
             Input::Leave => self.leaving = true,
             Input::Tick => self.tombstones.retain(|_, until| *until > now),
         }
-        self.pump(now, &mut actions);
+        self.schedule(now, &mut actions);
         actions
     }
 
-    /// Load of every endpoint, fresh.
+    /// Returns the current load of every endpoint.
     pub fn loads(&self) -> Vec<Load> {
-        self.lanes.iter().map(|(name, lane)| self.load(name, lane)).collect()
+        self.schedulers.iter().map(|(name, scheduler)| self.load(name, scheduler)).collect()
     }
 
-    fn load(&self, name: &Arc<str>, lane: &Lane) -> Load {
-        let active: u64 = lane.active.values().map(|active| u64::from(active.work.prompt_tokens)).sum();
-        let delayed: u64 = lane.delayed.iter().map(|(_, job)| u64::from(job.work.prompt_tokens)).sum();
+    fn load(&self, name: &Arc<str>, scheduler: &Scheduler) -> Load {
+        let active: u64 = scheduler.active.values().map(|active| u64::from(active.work.prompt_tokens)).sum();
+        let delayed: u64 = scheduler.delayed.iter().map(|(_, job)| u64::from(job.work.prompt_tokens)).sum();
         Load {
             endpoint: name.clone(),
-            free_pieces: lane.ledger.free(),
-            capacity_pieces: lane.ledger.capacity(),
-            queued_tokens: match lane.role {
-                Role::Prefill => lane.waiting.queued() + active + delayed,
-                Role::Decode | Role::Plain => lane.waiting.queued(),
+            free_pieces: scheduler.ledger.free(),
+            capacity_pieces: scheduler.ledger.capacity(),
+            queued_tokens: match scheduler.role {
+                Role::Prefill => scheduler.queue.queued_tokens() + active + delayed,
+                Role::Decode | Role::Plain => scheduler.queue.queued_tokens(),
             },
-            running: u32::try_from(lane.active.len()).unwrap_or(u32::MAX),
-            leaving: self.leaving || lane.endpoint.leaving,
+            running: u32::try_from(scheduler.active.len()).unwrap_or(u32::MAX),
+            leaving: self.leaving || scheduler.endpoint.leaving,
         }
     }
 
-    /// Whether anything runs or waits.
+    /// Returns whether no endpoint has queued work, running work or held memory.
     pub fn is_idle(&self) -> bool {
-        self.lanes.values().all(Lane::is_idle)
+        self.schedulers.values().all(Scheduler::is_idle)
     }
 
-    /// Attempts remembered as given up.
+    /// Returns the number of tombstones.
     pub fn tombstones(&self) -> usize {
         self.tombstones.len()
     }
 
-    fn settle(&mut self, settings: Arc<Snapshot>, actions: &mut Vec<Action>) {
+    fn apply_settings(&mut self, settings: Arc<Snapshot>, actions: &mut Vec<Action>) {
         self.settings = settings;
-        for name in &self.fronts {
+        for name in &self.endpoint_names {
             let Some(endpoint) = self.settings.endpoints.get(name) else {
                 continue;
             };
-            match self.lanes.get_mut(name) {
-                Some(lane) => lane.adjust(name, endpoint, actions),
+            match self.schedulers.get_mut(name) {
+                Some(scheduler) => scheduler.reconfigure(name, endpoint, actions),
                 None => {
-                    self.lanes.insert(name.clone(), Lane::new(endpoint));
+                    self.schedulers.insert(name.clone(), Scheduler::new(endpoint));
                 }
             }
         }
-        self.cut_withdrawn(actions);
+        self.abort_withdrawn(actions);
     }
 
-    /// Stops what runs under a withdrawn key, unless the operator lets it finish. The entry does
-    /// the same; this covers an entry that is paused or cut off from the table.
-    fn cut_withdrawn(&mut self, actions: &mut Vec<Action>) {
-        let cut: BTreeSet<Arc<str>> = self
+    /// Aborts work under withdrawn keys, unless the operator lets running work finish. The entry
+    /// does the same; this covers an entry that is paused or has lost its connection to the table.
+    fn abort_withdrawn(&mut self, actions: &mut Vec<Action>) {
+        let withdrawn: BTreeSet<Arc<str>> = self
             .settings
             .keys
             .values()
             .filter(|key| key.withdrawn && key.running == Running::Cut)
             .map(|key| key.id.clone())
             .collect();
-        if cut.is_empty() {
+        if withdrawn.is_empty() {
             return;
         }
-        for (name, lane) in &mut self.lanes {
-            lane.cut(name, &cut, actions);
+        for (name, scheduler) in &mut self.schedulers {
+            scheduler.abort_keys(name, &withdrawn, actions);
         }
     }
 
-    fn order(&mut self, now: Time, link: Link, order: Order, actions: &mut Vec<Action>) {
+    fn handle_order(&mut self, now: Time, link: Link, order: Order, actions: &mut Vec<Action>) {
         match order {
             Order::Hello { .. } | Order::Heartbeat(_) => {}
             Order::Hold { work, ahead } => {
@@ -245,24 +245,24 @@
                 self.enqueue(now, link, work, Task::Call(call), Duration::ZERO, actions);
             }
             Order::Decode { work, source, kv, from_index, held } => {
-                let import = Import { link, work, source, kv, from_index, since: now };
-                self.import(now, import, held, actions);
+                let import = Import { link, work, source, kv, from_index, queued: now };
+                self.enqueue_import(now, import, held, actions);
             }
             Order::Cancel(attempt) => self.cancel(now, link, attempt, actions),
         }
     }
 
-    /// Why an order may not run, if it may not.
-    fn objection(&self, work: &Work, role: Role) -> Option<Code> {
+    /// Returns why an order is refused, or `None` if it may run.
+    fn refusal_code(&self, work: &Work, role: Role) -> Option<Code> {
         if self.tombstones.contains_key(&work.attempt) {
             return Some(Code::Cancelled);
         }
         if self.settings.is_withdrawn(&work.key) {
             return Some(Code::BadKey);
         }
-        let lane = self.lanes.get(&work.endpoint).filter(|lane| lane.role == role);
-        let Some(lane) = lane else { return Some(Code::NoEndpoint) };
-        (self.leaving || lane.endpoint.leaving).then_some(Code::NoEndpoint)
+        let scheduler = self.schedulers.get(&work.endpoint).filter(|scheduler| scheduler.role == role);
+        let Some(scheduler) = scheduler else { return Some(Code::NoEndpoint) };
+        (self.leaving || scheduler.endpoint.leaving).then_some(Code::NoEndpoint)
     }
 
     fn enqueue(
@@ -279,39 +279,43 @@
             Task::Prefill { .. } => Role::Prefill,
             Task::Call(_) => Role::Plain,
         };
-        if let Some(code) = self.objection(&work, role) {
+        if let Some(code) = self.refusal_code(&work, role) {
             actions.push(refuse(link, work.attempt, code, Duration::ZERO));
             return;
         }
         let weight = self.settings.customers.get(&work.customer).map_or(1, |customer| customer.weight);
-        let Some(lane) = self.lanes.get_mut(&work.endpoint) else { return };
-        lane.accept(now, link, weight, work, task, delay, actions);
+        let Some(scheduler) = self.schedulers.get_mut(&work.endpoint) else { return };
+        scheduler.enqueue(now, link, weight, work, task, delay, actions);
     }
 
-    fn import(&mut self, now: Time, import: Import, held: bool, actions: &mut Vec<Action>) {
+    fn enqueue_import(&mut self, now: Time, import: Import, held: bool, actions: &mut Vec<Action>) {
         let attempt = import.work.attempt;
-        let known = self.lanes.get(&import.work.endpoint).is_some_and(|lane| lane.ledger.has(attempt));
-        // A granted hold is honoured though the endpoint has begun to leave: its prefill is spent.
-        let objection =
-            self.objection(&import.work, Role::Decode).filter(|code| !(known && *code == Code::NoEndpoint));
-        let lapsed = held && !known && objection.is_none();
-        if let Some(code) = objection.or(lapsed.then_some(Code::Overloaded)) {
+        let has_hold = self
+            .schedulers
+            .get(&import.work.endpoint)
+            .is_some_and(|scheduler| scheduler.ledger.contains(attempt));
+        // A leaving endpoint still accepts decodes with a granted hold: their prefill is already done.
+        let refusal_code = self
+            .refusal_code(&import.work, Role::Decode)
+            .filter(|code| !(has_hold && *code == Code::NoEndpoint));
+        let hold_expired = held && !has_hold && refusal_code.is_none();
+        if let Some(code) = refusal_code.or(hold_expired.then_some(Code::Overloaded)) {
             actions.push(refuse(import.link, attempt, code, Duration::ZERO));
             return;
         }
-        if let Some(lane) = self.lanes.get_mut(&import.work.endpoint) {
-            lane.imports.push(import);
-            lane.start_imports(now, actions);
+        if let Some(scheduler) = self.schedulers.get_mut(&import.work.endpoint) {
+            scheduler.imports.push(import);
+            scheduler.start_imports(now, actions);
         }
     }
 
-    /// Gives an attempt up. The tombstone makes "not run" true even if one of the attempt's orders
-    /// is still on its way over another connection.
+    /// Cancels an attempt. The tombstone keeps "not run" true if another order of the attempt is
+    /// still in flight on a different connection.
     fn cancel(&mut self, now: Time, link: Link, attempt: Attempt, actions: &mut Vec<Action>) {
-        self.tombstones.insert(attempt, now.plus(TOMBSTONE));
+        self.tombstones.insert(attempt, now.plus(TOMBSTONE_TTL));
         let mut started = false;
-        for (name, lane) in &mut self.lanes {
-            started |= lane.give_up(name, |other, _| other == attempt, actions);
+        for (name, scheduler) in &mut self.schedulers {
+            started |= scheduler.cancel(name, |other, _| other == attempt, actions);
         }
         actions.push(Action::Send(
             link,
@@ -319,13 +323,13 @@
         ));
     }
 
-    fn link_lost(&mut self, link: Link, actions: &mut Vec<Action>) {
-        for (name, lane) in &mut self.lanes {
-            lane.give_up(name, |_, owner| owner == link, actions);
+    fn cancel_link(&mut self, link: Link, actions: &mut Vec<Action>) {
+        for (name, scheduler) in &mut self.schedulers {
+            scheduler.cancel(name, |_, owner| owner == link, actions);
         }
     }
 
-    fn finished(
+    fn handle_finished(
         &mut self,
         now: Time,
         attempt: Attempt,
@@ -333,10 +337,10 @@
         outcome: Outcome,
         actions: &mut Vec<Action>,
     ) {
-        let Some(lane) = self.lanes.get_mut(endpoint) else { return };
-        lane.ledger.release(attempt);
-        let Some(active) = lane.active.remove(&attempt) else { return };
-        lane.measure(now, &active, &outcome);
+        let Some(scheduler) = self.schedulers.get_mut(endpoint) else { return };
+        scheduler.ledger.release(attempt);
+        let Some(active) = scheduler.active.remove(&attempt) else { return };
+        scheduler.record_outcome(now, &active, &outcome);
         let event = match outcome {
             Outcome::Prefilled { source, kv, ttl } => Event::Prefilled { attempt, source, kv, ttl },
             Outcome::Decoded { total } => Event::Ended { attempt, total },
@@ -349,9 +353,9 @@
         }
     }
 
-    fn pump(&mut self, now: Time, actions: &mut Vec<Action>) {
-        for lane in self.lanes.values_mut() {
-            lane.pump(now, actions);
+    fn schedule(&mut self, now: Time, actions: &mut Vec<Action>) {
+        for scheduler in self.schedulers.values_mut() {
+            scheduler.schedule(now, actions);
         }
     }
 }
--- a/crates/core/src/memory.rs
+++ b/crates/core/src/memory.rs
@@ -1,31 +1,31 @@
-//! Memory of one decode engine: what is used, held and promised.
+//! Accounting of the KV-cache memory of one decode engine.
 //!
-//! The agent beside the engine owns the ledger and is the one authority on it. A hold is a lease:
-//! it lapses unless its decode arrives in time, so memory never stays held by an entry that died
-//! or a caller that left.
+//! The agent of the engine owns the ledger; nothing else reserves memory there. A hold reserves
+//! memory for a decode under a lease, so memory is freed if the entry dies or the caller leaves
+//! before the decode arrives. Memory is counted in pieces, a fixed number of tokens each.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::{clock::Time, id::Attempt};
 
-/// State of one attempt's memory.
+/// State of an attempt's memory claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Held for a decode that has not arrived; lapses at the time given.
+    /// Reserved for a decode that has not started.
     Held {
         /// End of the lease.
         until: Time,
     },
-    /// Granted against a place that is about to fall free.
+    /// Granted against memory that is still in use but expected to be freed soon.
     Promised {
-        /// When it is expected to be free.
+        /// When the memory is expected to be free.
         ready: Time,
         /// End of the lease.
         until: Time,
     },
-    /// The decode runs.
+    /// In use by a running decode.
     Running {
-        /// When it is expected to end.
+        /// When the decode is expected to end.
         ends: Time,
     },
 }
@@ -36,19 +36,19 @@
     phase: Phase,
 }
 
-/// What a request for memory got.
+/// Result of [`Ledger::hold`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hold {
-    /// Held, and free after the span.
+    /// Granted; the memory is available after this delay.
     Granted(Duration),
-    /// Nothing is free in time.
+    /// Not enough memory is free now or, if allowed, within the horizon.
     Full,
 }
 
-/// The ledger of one engine.
+/// Memory claims on one engine.
 ///
-/// The pieces of held and running claims together never exceed the capacity. Promised claims
-/// stand outside that sum until a place has fallen free.
+/// Held and running claims never exceed the capacity together. Promised claims are not part of
+/// that sum until their decode starts.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     capacity: u32,
@@ -56,34 +56,35 @@
 }
 
 impl Ledger {
-    /// An empty ledger over `capacity` pieces.
+    /// Creates an empty ledger of `capacity` pieces.
     pub fn new(capacity: u32) -> Self {
         Self { capacity, claims: BTreeMap::new() }
     }
 
-    /// All pieces.
+    /// Returns the capacity, pieces.
     pub fn capacity(&self) -> u32 {
         self.capacity
     }
 
-    /// Changes the capacity; running claims stay.
+    /// Changes the capacity; existing claims stay.
     pub fn resize(&mut self, capacity: u32) {
         self.capacity = capacity;
     }
 
-    /// Pieces neither held nor in use nor promised.
+    /// Returns the pieces that are not held, in use or promised.
     pub fn free(&self) -> u32 {
         self.capacity.saturating_sub(self.claims.values().map(|claim| claim.pieces).sum())
     }
 
-    fn physical(&self) -> u32 {
-        let taken = |claim: &Claim| !matches!(claim.phase, Phase::Promised { .. });
-        let used = self.claims.values().filter(|claim| taken(claim)).map(|claim| claim.pieces).sum();
+    /// Returns the pieces that are not held or in use; promised pieces count as unoccupied.
+    fn unoccupied(&self) -> u32 {
+        let is_occupying = |claim: &Claim| !matches!(claim.phase, Phase::Promised { .. });
+        let used = self.claims.values().filter(|claim| is_occupying(claim)).map(|claim| claim.pieces).sum();
         self.capacity.saturating_sub(used)
     }
 
-    /// Claims memory for `attempt` until `until`, now or, with `horizon`, ahead of a place that
-    /// falls free within it.
+    /// Claims memory for `attempt` under a lease that ends at `until`. With a `horizon`, memory that
+    /// is expected to be freed within it may be promised. Idempotent.
     pub fn hold(
         &mut self,
         now: Time,
@@ -99,15 +100,15 @@
             self.claims.insert(attempt, Claim { pieces, phase: Phase::Held { until } });
             return Hold::Granted(Duration::ZERO);
         }
-        let Some(ready) = horizon.and_then(|horizon| self.ready(now, pieces, horizon)) else {
+        let Some(ready) = horizon.and_then(|horizon| self.ready_at(now, pieces, horizon)) else {
             return Hold::Full;
         };
         self.claims.insert(attempt, Claim { pieces, phase: Phase::Promised { ready, until } });
         Hold::Granted(ready.since(now))
     }
 
-    /// When `pieces` more than all claims so far will be free, if within `horizon`.
-    fn ready(&self, now: Time, pieces: u32, horizon: Duration) -> Option<Time> {
+    /// Returns when `pieces` are expected to be free beyond all claims, if within `horizon`.
+    fn ready_at(&self, now: Time, pieces: u32, horizon: Duration) -> Option<Time> {
         let claimed: u32 = self.claims.values().map(|claim| claim.pieces).sum();
         let mut missing = (claimed + pieces).saturating_sub(self.capacity);
         let mut ends: Vec<(Time, u32)> = self
@@ -131,13 +132,13 @@
         None
     }
 
-    /// Whether the decode of `attempt` may start in memory now; takes the place if so.
+    /// Marks the claim of `attempt` as running if its memory is available, and returns whether it is.
     pub fn start(&mut self, attempt: Attempt, ends: Time) -> bool {
-        let physical = self.physical();
+        let unoccupied = self.unoccupied();
         let Some(claim) = self.claims.get_mut(&attempt) else { return false };
         let fits = match claim.phase {
             Phase::Held { .. } | Phase::Running { .. } => true,
-            Phase::Promised { .. } => claim.pieces <= physical,
+            Phase::Promised { .. } => claim.pieces <= unoccupied,
         };
         if fits {
             claim.phase = Phase::Running { ends };
@@ -145,22 +146,21 @@
         fits
     }
 
-    /// Corrects when a running decode is expected to end.
-    pub fn expect(&mut self, attempt: Attempt, ends: Time) {
+    /// Updates when a running decode is expected to end.
+    pub fn set_expected_end(&mut self, attempt: Attempt, ends: Time) {
         if let Some(Claim { phase: phase @ Phase::Running { .. }, .. }) = self.claims.get_mut(&attempt) {
             *phase = Phase::Running { ends };
         }
     }
 
-    /// Frees what `attempt` claims; idempotent.
+    /// Frees the claim of `attempt` and returns whether there was one.
     pub fn release(&mut self, attempt: Attempt) -> bool {
         self.claims.remove(&attempt).is_some()
     }
 
-    /// Turns promises into holds where memory has fallen free, and returns the attempts whose
-    /// lease has lapsed, now freed.
-    pub fn tick(&mut self, now: Time) -> Vec<Attempt> {
-        let lapsed: Vec<Attempt> = self
+    /// Frees held and promised claims whose lease has ended, and returns their attempts.
+    pub fn expire_leases(&mut self, now: Time) -> Vec<Attempt> {
+        let expired: Vec<Attempt> = self
             .claims
             .iter()
             .filter(|(_, claim)| match claim.phase {
@@ -169,23 +169,23 @@
             })
             .map(|(attempt, _)| *attempt)
             .collect();
-        for attempt in &lapsed {
+        for attempt in &expired {
             self.claims.remove(attempt);
         }
-        lapsed
+        expired
     }
 
-    /// Whether `attempt` has a claim.
-    pub fn has(&self, attempt: Attempt) -> bool {
+    /// Returns whether `attempt` has a claim.
+    pub fn contains(&self, attempt: Attempt) -> bool {
         self.claims.contains_key(&attempt)
     }
 
-    /// Decodes running.
+    /// Returns the number of running decodes.
     pub fn running(&self) -> usize {
         self.claims.values().filter(|claim| matches!(claim.phase, Phase::Running { .. })).count()
     }
 
-    /// Attempts with a claim, with the pieces of each.
+    /// Iterates over all claims: attempt, pieces and phase.
     pub fn claims(&self) -> impl Iterator<Item = (Attempt, u32, Phase)> {
         self.claims.iter().map(|(attempt, claim)| (*attempt, claim.pieces, claim.phase))
     }
--- a/crates/core/tests/agent.rs
+++ b/crates/core/tests/agent.rs
@@ -1,4 +1,4 @@
-//! An agent's decisions under failure, on the manual clock of the test.
+//! Tests of agent scheduling, mostly under failures.
 
 use std::{sync::Arc, time::Duration};
 
@@ -113,10 +113,10 @@
     started.collect()
 }
 
-/// A caller leaves while its decode runs. The entry cancels; the engine's memory counts as free only
-/// once the engine has let go of it, or the next import would find it full.
+/// Memory of a cancelled decode must not count as free before the engine releases it, or the next
+/// import would overfill the engine.
 #[test]
-fn cancelled_decode_frees_its_memory_once_the_engine_has() {
+fn cancelled_decode_frees_its_memory_after_the_engine_releases_it() {
     let mut state = agent();
     state.step(at(0), hold(1));
     state.step(at(10), decode(1));
@@ -130,8 +130,7 @@
     assert!(state.is_idle());
 }
 
-/// The entry host dies with holds, queued work and a running decode behind its link. Nobody will
-/// ever cancel them; the lost link alone must free everything.
+/// An entry that dies cannot cancel its work, so the loss of its link must free everything.
 #[test]
 fn lost_link_frees_holds_queued_and_running_work() {
     let mut state = agent();
@@ -148,8 +147,7 @@
     assert!(state.is_idle(), "something is still held: {:?}", state.loads());
 }
 
-/// An entry gives an attempt up and says "not run"; its prefill order, sent earlier over a slower
-/// connection, arrives afterwards. Without a tombstone it would run.
+/// An order that was delayed on another connection must not start after its attempt was cancelled.
 #[test]
 fn late_order_of_a_cancelled_attempt_never_starts() {
     let mut state = agent();
@@ -159,10 +157,9 @@
     assert_eq!((prefills(&late), refusals(&late)), (vec![], vec![(Code::Cancelled, true)]));
 }
 
-/// A key is withdrawn while its request waits and another of its requests decodes. The entry that
-/// sent both is paused, so the agent must stop them by its own settings.
+/// The agent must enforce key withdrawal itself, since the entry may be paused.
 #[test]
-fn withdrawn_key_stops_queued_and_running_work() {
+fn withdrawn_key_aborts_running_work_and_refuses_new_work() {
     let mut state = agent();
     state.step(at(0), hold(1));
     state.step(at(0), decode(1));
@@ -174,7 +171,7 @@
 }
 
 #[test]
-fn running_work_may_finish_if_the_operator_says_so() {
+fn running_work_of_a_withdrawn_key_may_finish_if_configured() {
     let mut state = agent();
     state.step(at(0), hold(1));
     state.step(at(0), decode(1));
@@ -183,10 +180,9 @@
     assert_eq!(actions, []);
 }
 
-/// A host is drained while a request holds memory there. New work is refused at once, but the
-/// request whose prefill is already paid for is still served.
+/// A leaving endpoint must still serve requests whose prefill is already done.
 #[test]
-fn leaving_endpoint_takes_no_new_work_but_honours_its_holds() {
+fn leaving_endpoint_refuses_new_work_but_honors_granted_holds() {
     let mut state = agent();
     state.step(at(0), hold(1));
     let leaving = Endpoint { leaving: true, ..endpoint(Role::Decode) };
@@ -197,9 +193,9 @@
     assert!(matches!(actions.as_slice(), [Action::Decode { .. }]), "{actions:?}");
 }
 
-/// One customer floods a prefill engine. Another's single request must not wait for the flood.
+/// One customer's flood of requests must not starve another customer.
 #[test]
-fn flood_of_one_customer_delays_another_by_one_turn() {
+fn flood_of_one_customer_delays_others_by_one_round() {
     let mut state = agent();
     for number in 0..50 {
         state.step(at(0), prefill(number, "flood"));
@@ -211,15 +207,18 @@
         let done = Input::Finished { attempt: running, endpoint: "prefill".into(), outcome: prefilled() };
         order.extend(prefills(&state.step(at(2), done)));
     }
-    assert!(order.contains(&attempt(100)), "the quiet customer still waits after {order:?}");
+    assert!(
+        order.contains(&attempt(100)),
+        "the request of the other customer is still queued after {order:?}"
+    );
 }
 
-/// Work that can no longer meet the first-token target is served after all that can, not refused;
-/// what would be given up before its turn is refused at once, with the time to come back.
+/// Late work stays queued; only work that would expire before it could run is refused, with a retry
+/// delay.
 #[test]
-fn late_work_is_served_last_and_hopeless_work_refused_at_once() {
+fn late_work_is_queued_and_work_that_would_expire_is_refused() {
     let mut state = agent();
-    // The first prefill measures the speed: 4,000 tokens in half a second.
+    // The first prefill sets the estimated rate: 4,000 tokens in half a second.
     state.step(at(0), prefill(1, "faculty"));
     state.step(at(500), finished(1, "prefill", prefilled()));
     for number in 2..10 {
@@ -235,10 +234,9 @@
     );
 }
 
-/// A request crashes a decode engine with its neighbours, and all of them are tried again. If two
-/// suspects ran together again, an innocent one could be caught twice and refused for it.
+/// If suspects ran together, a second crash would quarantine requests that did not cause it.
 #[test]
-fn suspects_of_a_crash_run_one_at_a_time() {
+fn crash_suspects_run_one_at_a_time() {
     let mut state = agent();
     let suspect = |number| {
         let work = Work { suspect: true, ..work(number, "decode", "faculty") };
@@ -248,15 +246,15 @@
         actions.iter().any(|action| matches!(action, Action::Send(_, Event::Held { .. })))
     };
     assert!(held(&state.step(at(0), suspect(1))));
-    assert!(!held(&state.step(at(1), suspect(2))), "there is room, but not for two suspects");
+    assert!(!held(&state.step(at(1), suspect(2))), "a second suspect must wait although memory is free");
     assert!(state.step(at(2), decode(1)).iter().any(|action| matches!(action, Action::Decode { .. })));
     assert!(!held(&state.step(at(3), Input::Tick)));
     assert!(held(&state.step(at(4), finished(1, "decode", Outcome::Decoded { total: 1 }))));
 }
 
-/// A decode engine crashes. Its memory is gone with it, so nothing may stay booked.
+/// A crash frees the memory of the engine, so the ledger must be empty afterwards.
 #[test]
-fn crashed_engine_leaves_nothing_booked() {
+fn crashed_engine_leaves_no_memory_claimed() {
     let mut state = agent();
     state.step(at(0), hold(1));
     state.step(at(0), decode(1));
@@ -269,7 +267,7 @@
 }
 
 #[test]
-fn changed_model_is_ordered_with_a_new_fencing_number() {
+fn model_change_is_ordered_with_a_new_fencing_number() {
     let mut state = agent();
     let other = Endpoint { serves: "other".into(), generation: 2, ..endpoint(Role::Prefill) };
     let next = settings().apply(2, &[Row::Endpoint("prefill".into(), Some(other.clone()))]).expect("newer");
--- a/crates/core/tests/memory.rs
+++ b/crates/core/tests/memory.rs
@@ -1,4 +1,4 @@
-//! Decode memory: leases, promises, and what happens when their holders vanish.
+//! Tests of the decode memory ledger.
 
 use std::time::Duration;
 
@@ -16,31 +16,29 @@
     Time::ZERO.plus(Duration::from_millis(millis))
 }
 
-/// An entry dies between its hold and its decode. Nobody cancels the hold; unless it lapses, the
-/// engine's memory stays held for a request whose caller is long gone.
+/// A hold whose entry dies before it sends the decode must not leak memory.
 #[test]
-fn hold_of_a_dead_entry_lapses() {
+fn hold_expires_if_no_decode_arrives() {
     let mut ledger = Ledger::new(4);
     assert_eq!(ledger.hold(at(0), attempt(1), 4, at(100), None), Hold::Granted(Duration::ZERO));
     assert_eq!(ledger.hold(at(50), attempt(2), 1, at(200), None), Hold::Full);
-    assert_eq!(ledger.tick(at(100)), [attempt(1)]);
+    assert_eq!(ledger.expire_leases(at(100)), [attempt(1)]);
     assert_eq!(ledger.free(), 4);
-    assert!(!ledger.start(attempt(1), at(500)), "a lapsed hold must not start");
+    assert!(!ledger.start(attempt(1), at(500)), "an expired hold must not start");
 }
 
 #[test]
-fn running_decode_never_lapses() {
+fn running_decode_never_expires() {
     let mut ledger = Ledger::new(4);
     ledger.hold(at(0), attempt(1), 4, at(100), None);
     assert!(ledger.start(attempt(1), at(900)));
-    assert_eq!(ledger.tick(at(10_000)), []);
+    assert_eq!(ledger.expire_leases(at(10_000)), []);
     assert_eq!(ledger.free(), 0);
 }
 
-/// A place is promised ahead of its falling free. The decode that comes early must wait: starting
-/// it would overfill the engine, which would evict or crash.
+/// A decode with promised memory that started before the memory is free would overfill the engine.
 #[test]
-fn promised_place_starts_only_once_it_is_free() {
+fn decode_with_promised_memory_starts_only_once_it_is_free() {
     let mut ledger = Ledger::new(4);
     ledger.hold(at(0), attempt(1), 4, at(100), None);
     ledger.start(attempt(1), at(300));
@@ -52,7 +50,7 @@
 }
 
 #[test]
-fn one_place_is_promised_once() {
+fn memory_is_promised_only_once() {
     let mut ledger = Ledger::new(4);
     ledger.hold(at(0), attempt(1), 4, at(100), None);
     ledger.start(attempt(1), at(300));
@@ -62,7 +60,7 @@
 }
 
 #[test]
-fn repeated_hold_claims_nothing_more() {
+fn repeated_hold_claims_no_more_memory() {
     let mut ledger = Ledger::new(4);
     ledger.hold(at(0), attempt(1), 2, at(100), None);
     ledger.hold(at(0), attempt(1), 2, at(100), None);
@@ -74,7 +72,7 @@
     Hold(u8, u8, bool),
     Start(u8),
     Release(u8),
-    Pass(u8),
+    Advance(u8),
 }
 
 impl Arbitrary for Step {
@@ -84,12 +82,12 @@
             0 => Self::Hold(number, u8::arbitrary(g) % 4 + 1, bool::arbitrary(g)),
             1 => Self::Start(number),
             2 => Self::Release(number),
-            _ => Self::Pass(u8::arbitrary(g)),
+            _ => Self::Advance(u8::arbitrary(g)),
         }
     }
 }
 
-fn never_overfull(steps: Vec<Step>) -> bool {
+fn stays_within_capacity(steps: Vec<Step>) -> bool {
     let mut ledger = Ledger::new(8);
     let mut now = Time::ZERO;
     steps.into_iter().all(|step| {
@@ -110,22 +108,22 @@
             Step::Release(number) => {
                 ledger.release(attempt(number.into()));
             }
-            Step::Pass(millis) => {
+            Step::Advance(millis) => {
                 now = now.plus(Duration::from_millis(millis.into()));
-                ledger.tick(now);
+                ledger.expire_leases(now);
             }
         }
-        let taken: u32 = ledger
+        let occupied: u32 = ledger
             .claims()
             .filter(|(_, _, phase)| !matches!(phase, Phase::Promised { .. }))
             .map(|(_, pieces, _)| pieces)
             .sum();
-        taken <= ledger.capacity()
+        occupied <= ledger.capacity()
     })
 }
 
 #[test]
-fn held_and_running_pieces_never_exceed_the_memory() {
+fn held_and_running_pieces_never_exceed_the_capacity() {
     let generator = Gen::from_size_and_seed(200, 5);
-    QuickCheck::new().rng(generator).tests(500).quickcheck(never_overfull as fn(Vec<Step>) -> bool);
+    QuickCheck::new().rng(generator).tests(500).quickcheck(stays_within_capacity as fn(Vec<Step>) -> bool);
 }
