--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between entries and agents, as the decisions see them. The `wire` crate turns them
-//! into protobuf and back.
+//! Messages between entries and agents and between entries. The `wire` crate converts them to and
+//! from protobuf.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,70 +10,72 @@
     refusal::Code,
 };
 
-/// What every costly order says of the work it belongs to.
+/// Description of the work that an order belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Work {
-    /// The try this order serves.
+    /// Attempt that the order belongs to.
     pub attempt: Attempt,
-    /// Name of the endpoint that is to run it.
+    /// Name of the endpoint that runs the work.
     pub endpoint: Arc<str>,
-    /// Who pays.
+    /// Customer whose quota is charged.
     pub customer: Arc<str>,
-    /// Identifier of the caller's key (never the key itself); checked again before each stage.
+    /// Identifier of the caller's key, not the key itself. The key is checked before each stage.
     pub key: Arc<str>,
-    /// Length of the prompt, tokens.
+    /// Length of the prompt.
     pub prompt_tokens: u32,
-    /// The most tokens the answer may have.
+    /// Maximum length of the answer.
     pub max_tokens: u32,
-    /// Time left until the first token is due, counted by the receiver from arrival.
+    /// Time until the first token is due, counted from arrival at the agent.
     pub slack: Duration,
-    /// Time after which the work is given up, counted likewise. What cannot meet the first-token
-    /// target is served after everything that can, until then.
+    /// Time until the work is refused if it has not started, counted from arrival at the agent.
+    /// Work that will miss its first-token deadline runs after work that can meet it.
     pub timeout: Duration,
-    /// It was running when an endpoint crashed. An endpoint runs one such at a time.
+    /// Whether the request was running when an endpoint crashed. An endpoint runs one suspect at a
+    /// time.
     pub suspect: bool,
 }
 
-/// What an entry tells an agent.
+/// Message from an entry to an agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Opens a link.
+    /// First message on a link.
     Hello {
-        /// Name of the entry.
+        /// Name of the sending entry.
         entry: Arc<str>,
     },
-    /// Asks for decode memory.
+    /// Requests a hold on decode memory.
     Hold {
-        /// The work the memory is for.
+        /// The work that needs the memory.
         work: Work,
-        /// Whether a place that is about to fall free may be promised.
+        /// Whether memory that is in use but about to be freed may be promised.
         ahead: bool,
     },
-    /// Orders a prefill.
+    /// Requests a prefill.
     Prefill {
-        /// The work.
+        /// The work to prefill.
         work: Work,
         /// The prompt.
         prompt: Arc<str>,
-        /// Start no earlier than this from now: the decode place falls free only then.
+        /// Earliest start, counted from arrival, so that the result is not ready long before the
+        /// decode memory.
         delay: Duration,
     },
-    /// Orders the import of a prefill result and its decode.
+    /// Requests the import of a prefill result and its decode.
     Decode {
-        /// The work.
+        /// The work to decode.
         work: Work,
-        /// Address of the prefill engine that exports the result.
+        /// Address of the prefill engine that exports the KV cache.
         source: Arc<str>,
-        /// Names the result there.
+        /// Identifies the KV cache on that engine.
         kv: Arc<str>,
-        /// First token index wanted; above zero when a broken decode resumes.
+        /// Index of the first token to send; above zero when a failed decode is resumed.
         from_index: u32,
         /// Whether a hold was granted for this attempt.
         held: bool,
     },
-    /// Orders a call of a plain service.
+    /// Requests a call of a plain service.
     Call {
-        /// The work.
+        /// The work that the call belongs to.
         work: Work,
         /// HTTP method.
         method: Arc<str>,
@@ -81,85 +83,85 @@
         path: Arc<str>,
         /// Request body.
         body: Vec<u8>,
-        /// The caller's idempotency key, empty for calls that may be repeated.
+        /// The caller's idempotency key; empty if the call is safe to repeat.
         idempotency_key: Arc<str>,
     },
-    /// Gives an attempt up. Idempotent; also stops an attempt whose other orders arrive later.
+    /// Cancels an attempt. Idempotent; also covers orders of the attempt that arrive later.
     Cancel(Attempt),
-    /// Shows that the entry and the connection live.
+    /// Heartbeat of the entry.
     Heartbeat(Heartbeat),
 }
 
-/// What an agent tells an entry.
+/// Message from an agent to an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Decode memory is held for the attempt.
+    /// Decode memory was granted.
     Held {
-        /// The attempt.
+        /// Attempt that the event belongs to.
         attempt: Attempt,
-        /// When the place will be free; zero if it is free now.
+        /// Time until the memory is free; zero if it is free now.
         ready_in: Duration,
     },
-    /// The order was turned down.
+    /// The order was refused.
     Refused {
-        /// The attempt.
+        /// Attempt that the event belongs to.
         attempt: Attempt,
-        /// Why.
+        /// Reason for the refusal.
         code: Code,
-        /// True if this order started nothing and, by its tombstone, never will.
+        /// True if the agent has not started the work and will not start it.
         not_run: bool,
-        /// When asking again makes sense; zero if not known.
+        /// How long to wait before a retry; zero if unknown.
         retry_after: Duration,
     },
-    /// A prefill is done.
+    /// The prefill completed.
     Prefilled {
-        /// The attempt.
+        /// Attempt that the event belongs to.
         attempt: Attempt,
-        /// Address of the engine that holds the result.
+        /// Address of the engine that holds the KV cache.
         source: Arc<str>,
-        /// Names the result there.
+        /// Identifies the KV cache on that engine.
         kv: Arc<str>,
-        /// How long the engine will keep it.
+        /// How long the engine keeps the KV cache.
         ttl: Duration,
     },
     /// Tokens of the answer.
     Tokens {
-        /// The attempt.
+        /// Attempt that the event belongs to.
         attempt: Attempt,
-        /// Index of the first of them.
+        /// Index of the first of these tokens in the answer.
         first_index: u32,
-        /// The tokens in order.
+        /// Texts of the tokens, in order.
         texts: Vec<Arc<str>>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Ended {
-        /// The attempt.
+        /// Attempt that the event belongs to.
         attempt: Attempt,
-        /// How many tokens it has.
+        /// Number of tokens in the answer.
         total: u32,
     },
-    /// Work that had started broke off.
+    /// Work failed after it started.
     Failed {
-        /// The attempt.
+        /// Attempt that the event belongs to.
         attempt: Attempt,
-        /// What happened.
+        /// Cause of the failure.
         cause: FailureCause,
     },
-    /// A plain service answered.
+    /// The plain service returned a response.
     Answered {
-        /// The attempt.
+        /// Attempt that the event belongs to.
         attempt: Attempt,
         /// HTTP status.
         status: u16,
         /// Response body.
         body: Vec<u8>,
     },
-    /// Shows that the agent and the connection live.
+    /// Heartbeat of the agent.
     Heartbeat(Heartbeat),
 }
 
 impl Event {
-    /// The attempt the event speaks of, if of one.
+    /// Returns the attempt that the event belongs to; `None` for heartbeats.
     pub fn attempt(&self) -> Option<Attempt> {
         match self {
             Self::Held { attempt, .. }
@@ -174,32 +176,33 @@
     }
 }
 
-/// How started work broke off.
+/// Cause of the failure of started work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum FailureCause {
-    /// The engine's connection closed or its process died while the work ran.
+    /// The engine crashed or its connection closed while the work ran.
     Crashed,
-    /// The prefill result was gone before it could be transferred.
+    /// The prefill result was evicted before it could be transferred.
     Evicted,
-    /// The transfer did not finish in time.
+    /// The transfer timed out.
     Stalled,
     /// The link between entry and agent was lost.
     LinkLost,
-    /// The engine answered with an error.
+    /// The engine returned an error.
     Failed,
 }
 
-/// A heartbeat with what its sender knows.
+/// Heartbeat, which also carries settings freshness and load.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Newest settings version the sender has in force.
+    /// Settings version that the sender uses.
     pub version: u64,
-    /// How long ago the sender, or someone it heard of, confirmed that version with the table.
+    /// Time since the sender, or another process that reported it to the sender, confirmed that
+    /// version with the table.
     pub age: Duration,
-    /// How often the sender beats and wants to be beaten to; zero for as the receiver likes.
+    /// Heartbeat interval in both directions; zero if the receiver may choose.
     pub interval: Duration,
-    /// Fresh load of the endpoints that an agent fronts; empty from entries.
+    /// Current load of the agent's endpoints; empty in heartbeats of entries.
     pub loads: Vec<Load>,
 }
 
@@ -208,67 +211,67 @@
 pub struct Load {
     /// Name of the endpoint.
     pub endpoint: Arc<str>,
-    /// Memory pieces neither used nor held.
+    /// Memory pieces that are not in use, held or promised.
     pub free_pieces: u32,
-    /// All memory pieces.
+    /// Total memory pieces.
     pub capacity_pieces: u32,
-    /// Prompt tokens queued or running.
+    /// Queued tokens; on prefill endpoints, running prompts are included.
     pub queued_tokens: u64,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Whether it takes no new work.
+    /// Whether the endpoint is leaving and accepts no new work.
     pub leaving: bool,
 }
 
-/// What an entry asks of another.
+/// Request from one entry to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerRequest {
-    /// Asks a customer's home for tokens, or gives some back.
+    /// Borrows quota tokens from a customer's home or returns unspent ones.
     Borrow {
-        /// The customer.
+        /// Customer that owns the tokens.
         customer: Arc<str>,
-        /// The question.
+        /// Tokens to borrow or return.
         loan: Loan,
     },
-    /// A heartbeat.
+    /// Heartbeat of the requesting entry.
     Heartbeat(Heartbeat),
-    /// Reports or looks up crashes of one request's fingerprint.
+    /// Queries the crash status of a request fingerprint, after counting a crash if `crashed`.
     CrashStatus {
-        /// The customer.
+        /// Customer that sent the request.
         customer: Arc<str>,
-        /// Digest of customer and body.
+        /// Digest of the customer and the request body.
         fingerprint: u64,
-        /// Whether this reports one more crash.
+        /// Whether to count another crash.
         crashed: bool,
     },
-    /// Asks the successor not to take over for one lease, the table being out of reach.
+    /// Asks the successor to extend the sender's lease while the table is unreachable.
     Renew {
-        /// Incarnation of the member that asks.
+        /// Incarnation of the sending entry.
         incarnation: u64,
     },
-    /// Asks to read the rows of homes now: a home has been offered.
+    /// Asks the receiver to read the home rows now, because a home was offered to it.
     RefreshHomes,
 }
 
-/// What an entry answers another.
+/// Reply to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerReply {
-    /// Tokens lent, possibly none.
+    /// Lent tokens, possibly none.
     Lent(Grant),
-    /// A heartbeat.
+    /// Heartbeat of the replying entry.
     Heartbeat(Heartbeat),
-    /// What is known of a fingerprint.
+    /// Crash status of the fingerprint.
     CrashStatus(CrashStatus),
-    /// Answer to a renewal.
+    /// Result of a lease renewal.
     Renewed {
         /// Whether the lease was extended.
         granted: bool,
     },
-    /// Understood.
+    /// The request was received.
     Acknowledged,
-    /// The customer's home is elsewhere.
+    /// The receiver is not the customer's home.
     NotHome {
-        /// The owner as far as known, empty if not.
+        /// Last known owner of the home; empty if unknown.
         owner: Arc<str>,
         /// Epoch of that ownership.
         epoch: u64,
