--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,8 +1,8 @@
-//! Which endpoint a request goes to.
+//! Choice of the endpoint for a request.
 //!
-//! Agents report load with a lag; an entry corrects the last report by what it has sent since.
-//! Choosing the better of a few random candidates keeps entries that share the same stale report
-//! from herding onto one endpoint.
+//! Load reports lag, so an entry adds the work that it has sent since the last report. It compares
+//! only a few random candidates, so that entries with the same stale report do not all choose the
+//! same endpoint.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,59 +18,59 @@
 
 use crate::{clock::Time, id::Attempt, message::Load, settings::Named};
 
-/// How requests are placed. All but `current` are baselines to measure against.
+/// Placement policy. All policies but `current` serve as baselines for benchmarks.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Display, EnumString, EnumIter, IntoStaticStr,
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum Policy {
-    /// A random pair of endpoints, no holds, static split of rates.
+    /// Chooses endpoints at random, without holds; each entry has a fixed share of rate limits.
     RoundRobin,
-    /// The least reported load, no holds.
+    /// Chooses the endpoint with the least reported load, without holds.
     LeastLoaded,
-    /// Decode memory is held before the prefill starts.
+    /// Holds decode memory before the prefill starts.
     HoldFirst,
-    /// Decode memory is promised ahead of its falling free; early refusal.
+    /// Like `hold-first`, and also accepts promises of decode memory that is about to be freed.
     #[default]
     Current,
 }
 
 impl Policy {
-    /// Whether decode memory is claimed before the prefill.
+    /// Returns whether decode memory is held before the prefill starts.
     pub fn uses_holds(self) -> bool {
         matches!(self, Self::HoldFirst | Self::Current)
     }
 
-    /// Whether places about to fall free are promised.
+    /// Returns whether decode memory that is about to be freed may be promised.
     pub fn promises_ahead(self) -> bool {
         matches!(self, Self::Current)
     }
 
-    /// Whether each entry gets a fixed part of every rate instead of borrowing.
+    /// Returns whether each entry gets a fixed share of every rate limit instead of borrowing.
     pub fn splits_rates(self) -> bool {
         matches!(self, Self::RoundRobin)
     }
 }
 
-/// Reports older than this say nothing about an endpoint any more.
-const STALE: Duration = Duration::from_secs(5);
-/// Sends younger than this when a report arrives may not be in it yet.
-const IN_FLIGHT: Duration = Duration::from_millis(10);
-/// Random candidates compared.
-const CANDIDATES: usize = 3;
-/// Random candidates looked at, some of which may be unusable.
-const DRAWN: usize = 2 * CANDIDATES;
-/// Prefixes remembered for affinity.
-const PREFIXES: usize = 20_000;
-
-/// What a request needs of an endpoint.
+/// Age at which a load report is ignored.
+const STALE_AFTER: Duration = Duration::from_secs(5);
+/// A load report may not include work sent less than this before it arrives.
+const REPORT_LAG: Duration = Duration::from_millis(10);
+/// Random candidates whose scores are compared.
+const MAX_CANDIDATES: usize = 3;
+/// Random candidates drawn; more than are compared, as some may be unusable.
+const MAX_DRAWN: usize = 2 * MAX_CANDIDATES;
+/// Prefixes kept for cache affinity.
+const MAX_PREFIXES: usize = 20_000;
+
+/// Resources that a request needs from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
     /// Decode memory, in pieces.
     Decode(u32),
-    /// Prefill work, in prompt tokens, with the digest of the prompt's beginning.
+    /// Prefill work: the number of prompt tokens and the digest of the prompt prefix.
     Prefill(u32, u64),
-    /// One call.
+    /// One call of a plain service.
     Plain,
 }
 
@@ -82,83 +82,84 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct EndpointState {
     load: Option<(Load, Time)>,
-    /// Own sends that the last report may not contain, by attempt.
+    /// Work sent by this entry that the last report may not include.
     sent: BTreeMap<Attempt, Sent>,
-    /// Refused for lack of room; avoided until then.
-    avoid: Time,
-    /// Its agent's link is down.
-    down: bool,
+    /// Set when the endpoint refuses work as overloaded.
+    avoid_until: Time,
+    /// Whether the link to the endpoint's agent is down.
+    is_down: bool,
 }
 
-/// One question where to send work.
+/// Parameters of a placement decision.
 #[derive(Clone, Copy, Debug)]
 pub struct Search<'a> {
-    /// How to choose.
+    /// Policy to apply.
     pub policy: Policy,
-    /// Availability zone of the entry; breaks ties.
+    /// Availability zone of the entry, preferred between endpoints of equal score.
     pub zone: &'a str,
-    /// Endpoints that serve what is asked for, in the order of names.
+    /// Endpoints that serve the requested model or service, sorted by name.
     pub candidates: &'a [Named],
-    /// What the work needs.
+    /// Resources that the work needs.
     pub need: Need,
-    /// The attempt that is sent.
+    /// Attempt that the work belongs to.
     pub attempt: Attempt,
-    /// Endpoints on which this request has failed.
+    /// Endpoints on which the request has failed before.
     pub tried: &'a BTreeSet<Arc<str>>,
 }
 
-/// What one entry knows of all endpoints.
+/// Load and reachability of all endpoints, as known to one entry.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    seen: BTreeMap<Arc<str>, Seen>,
-    /// Endpoint that last prefilled a prompt with this beginning.
+    endpoints: BTreeMap<Arc<str>, EndpointState>,
+    /// Endpoint that last prefilled a prompt with the prefix, by prefix digest.
     prefixes: BTreeMap<u64, Arc<str>>,
 }
 
 impl View {
-    /// Takes a load report.
+    /// Records a load report, which also shows that the link is up.
     pub fn record_load(&mut self, now: Time, load: Load) {
-        let seen = self.seen.entry(load.endpoint.clone()).or_default();
-        seen.down = false;
-        seen.sent.retain(|_, sent| now.since(sent.at) < IN_FLIGHT);
-        seen.load = Some((load, now));
+        let state = self.endpoints.entry(load.endpoint.clone()).or_default();
+        state.is_down = false;
+        state.sent.retain(|_, sent| now.since(sent.at) < REPORT_LAG);
+        state.load = Some((load, now));
     }
 
-    /// Notes that the link to the agent of these endpoints is up or down.
+    /// Records whether the link to the agent of `endpoints` is up.
     pub fn set_link_up(&mut self, endpoints: impl Iterator<Item = Arc<str>>, up: bool) {
         for endpoint in endpoints {
-            self.seen.entry(endpoint).or_default().down = !up;
+            self.endpoints.entry(endpoint).or_default().is_down = !up;
         }
     }
 
-    /// Avoids an endpoint that has just refused for lack of room.
+    /// Avoids an endpoint that refused work as overloaded, for `span`.
     pub fn record_refusal(&mut self, now: Time, endpoint: &Arc<str>, span: Duration) {
-        self.seen.entry(endpoint.clone()).or_default().avoid = now.plus(span);
+        self.endpoints.entry(endpoint.clone()).or_default().avoid_until = now.plus(span);
     }
 
-    /// Forgets a send: it ended, was refused or given up.
+    /// Removes work that ended, was refused or was cancelled.
     pub fn remove_sent(&mut self, endpoint: &str, attempt: Attempt) {
-        if let Some(seen) = self.seen.get_mut(endpoint) {
-            seen.sent.remove(&attempt);
+        if let Some(state) = self.endpoints.get_mut(endpoint) {
+            state.sent.remove(&attempt);
         }
     }
 
-    /// Forgets endpoints that are no longer configured.
+    /// Removes endpoints that `keep` rejects.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
-        self.seen.retain(|name, _| keep(name));
+        self.endpoints.retain(|name, _| keep(name));
     }
 
-    /// Chooses an endpoint and counts the send.
+    /// Chooses an endpoint and records the work as sent to it.
     ///
-    /// Endpoints tried before, and those that have just refused, are passed over as long as there
-    /// are others; a fleet in which each has failed once must still serve.
+    /// Endpoints that the request has tried or that recently refused work are used only if no other
+    /// endpoint is available.
     pub fn place<R: Rng>(&mut self, now: Time, rng: &mut R, search: &Search<'_>) -> Option<Arc<str>> {
-        let fresh = |named: &&Named| self.is_up(named) && self.is_fresh(now, &named.0, search.tried);
+        let preferred = |named: &&Named| self.is_up(named) && self.is_preferred(now, &named.0, search.tried);
         let up = |named: &&Named| self.is_up(named);
-        let choice = self.choose(now, rng, search, fresh).or_else(|| self.choose(now, rng, search, up))?;
-        self.sent(now, &choice, search.need, search.attempt);
+        let choice =
+            self.choose(now, rng, search, preferred).or_else(|| self.choose(now, rng, search, up))?;
+        self.record_sent(now, &choice, search.need, search.attempt);
         Some(choice)
     }
 
@@ -173,88 +174,90 @@
         let choice = match search.policy {
             Policy::RoundRobin => candidates.iter().filter(usable).choose(rng),
             Policy::LeastLoaded => {
-                candidates.iter().filter(usable).min_by_key(|(name, _)| self.reported(name, need))
+                candidates.iter().filter(usable).min_by_key(|(name, _)| self.reported_cost(name, need))
             }
             Policy::HoldFirst | Policy::Current => {
-                let affine = self.affine(need);
-                let score = |named: &&Named| self.score(now, named, search, affine.as_ref());
-                sample(rng, candidates, affine.as_ref(), usable).into_iter().min_by_key(score)
+                let cached = self.cached_endpoint(need);
+                let score = |named: &&Named| self.score(now, named, search, cached.as_ref());
+                sample(rng, candidates, cached.as_ref(), usable).into_iter().min_by_key(score)
             }
         };
         choice.map(|(name, _)| name.clone())
     }
 
     fn is_up(&self, (name, endpoint): &Named) -> bool {
-        let Some(seen) = self.seen.get(name) else { return !endpoint.leaving };
-        let leaving = seen.load.as_ref().is_some_and(|(load, _)| load.leaving);
-        !endpoint.leaving && !leaving && !seen.down
+        let Some(state) = self.endpoints.get(name) else { return !endpoint.leaving };
+        let leaving = state.load.as_ref().is_some_and(|(load, _)| load.leaving);
+        !endpoint.leaving && !leaving && !state.is_down
     }
 
-    fn is_fresh(&self, now: Time, name: &Arc<str>, tried: &BTreeSet<Arc<str>>) -> bool {
-        !tried.contains(name) && self.seen.get(name).is_none_or(|seen| seen.avoid <= now)
+    fn is_preferred(&self, now: Time, name: &Arc<str>, tried: &BTreeSet<Arc<str>>) -> bool {
+        !tried.contains(name) && self.endpoints.get(name).is_none_or(|state| state.avoid_until <= now)
     }
 
-    fn affine(&self, need: Need) -> Option<Arc<str>> {
+    fn cached_endpoint(&self, need: Need) -> Option<Arc<str>> {
         match need {
             Need::Prefill(_, prefix) => self.prefixes.get(&prefix).cloned(),
             Need::Decode(_) | Need::Plain => None,
         }
     }
 
-    fn reported(&self, name: &Arc<str>, need: Need) -> u64 {
-        let load = self.seen.get(name).and_then(|seen| seen.load.as_ref());
+    fn reported_cost(&self, name: &Arc<str>, need: Need) -> u64 {
+        let load = self.endpoints.get(name).and_then(|state| state.load.as_ref());
         load.map_or(0, |(load, _)| cost(load, 0, 0, need))
     }
 
-    /// Lower is better.
-    fn score(&self, now: Time, named: &Named, search: &Search<'_>, affine: Option<&Arc<str>>) -> u64 {
+    /// Returns the score of an endpoint; lower is better.
+    fn score(&self, now: Time, named: &Named, search: &Search<'_>, cached: Option<&Arc<str>>) -> u64 {
         let (name, endpoint) = named;
         let need = search.need;
-        let seen = self.seen.get(name);
-        let (pieces, tokens) = seen.map_or((0, 0), |seen| {
-            seen.sent
+        let state = self.endpoints.get(name);
+        let (pieces, tokens) = state.map_or((0, 0), |state| {
+            state
+                .sent
                 .values()
                 .fold((0, 0), |(pieces, tokens), sent| (pieces + sent.pieces, tokens + sent.tokens))
         });
-        let fresh = seen.and_then(|seen| seen.load.as_ref()).filter(|(_, at)| now.since(*at) < STALE);
+        let fresh =
+            state.and_then(|state| state.load.as_ref()).filter(|(_, at)| now.since(*at) < STALE_AFTER);
         let base =
             fresh.map_or(u64::from(pieces) * 1_000 + tokens, |(load, _)| cost(load, pieces, tokens, need));
-        let away = u64::from(&*endpoint.zone != search.zone);
-        let matched = if affine == Some(name) { affinity(need) } else { 0 };
-        (base + away).saturating_sub(matched)
+        let zone_penalty = u64::from(&*endpoint.zone != search.zone);
+        let bonus = if cached == Some(name) { affinity_bonus(need) } else { 0 };
+        (base + zone_penalty).saturating_sub(bonus)
     }
 
-    fn sent(&mut self, now: Time, name: &Arc<str>, need: Need, attempt: Attempt) {
+    fn record_sent(&mut self, now: Time, name: &Arc<str>, need: Need, attempt: Attempt) {
         let (pieces, tokens) = match need {
             Need::Decode(pieces) => (pieces, 0),
             Need::Prefill(tokens, prefix) => {
-                self.remember(prefix, name);
+                self.record_prefix(prefix, name);
                 (0, u64::from(tokens))
             }
             Need::Plain => (0, 1),
         };
-        let seen = self.seen.entry(name.clone()).or_default();
-        seen.sent.insert(attempt, Sent { at: now, pieces, tokens });
+        let state = self.endpoints.entry(name.clone()).or_default();
+        state.sent.insert(attempt, Sent { at: now, pieces, tokens });
     }
 
-    fn remember(&mut self, prefix: u64, name: &Arc<str>) {
-        if self.prefixes.len() >= PREFIXES {
-            // Digests are uniform, so the first one is a random victim.
+    fn record_prefix(&mut self, prefix: u64, name: &Arc<str>) {
+        if self.prefixes.len() >= MAX_PREFIXES {
+            // Digests are uniformly distributed, so the first key is a random entry.
             self.prefixes.pop_first();
         }
         self.prefixes.insert(prefix, name.clone());
     }
 
-    /// Endpoints known, and sends counted against them.
+    /// Returns the number of known endpoints and the number of recorded sends.
     pub fn size(&self) -> (usize, usize) {
-        (self.seen.len(), self.seen.values().map(|seen| seen.sent.len()).sum())
+        (self.endpoints.len(), self.endpoints.values().map(|state| state.sent.len()).sum())
     }
 }
 
-/// Tokens of prefill work that a cached beginning saves at most.
+/// Upper bound on the prefill tokens that a cached prefix saves.
 const AFFINITY_TOKENS: u64 = 1_000;
 
-fn affinity(need: Need) -> u64 {
+fn affinity_bonus(need: Need) -> u64 {
     match need {
         Need::Prefill(tokens, _) => AFFINITY_TOKENS.min(u64::from(tokens)),
         Need::Decode(_) | Need::Plain => 0,
@@ -272,25 +275,24 @@
     }
 }
 
-/// Draws a few usable candidates, always with the affine one, so that affinity can win at all.
-/// Draws before it looks: the cost does not grow with the number of endpoints, unless most of
-/// them are unusable.
+/// Samples a few usable candidates, and adds the cached endpoint if it is usable. Samples before it
+/// filters, so that the cost is independent of the number of endpoints unless most are unusable.
 fn sample<'a, R: Rng>(
     rng: &mut R,
     candidates: &'a [Named],
-    affine: Option<&Arc<str>>,
+    cached: Option<&Arc<str>>,
     usable: impl Fn(&&'a Named) -> bool,
 ) -> Vec<&'a Named> {
-    let matching = affine.and_then(|affine| {
-        let at = candidates.binary_search_by(|(name, _)| name.cmp(affine)).ok()?;
+    let matching = cached.and_then(|cached| {
+        let at = candidates.binary_search_by(|(name, _)| name.cmp(cached)).ok()?;
         candidates.get(at).filter(&usable)
     });
-    let drawn = index::sample(rng, candidates.len(), DRAWN.min(candidates.len()));
-    let mut few: Vec<&Named> =
-        drawn.iter().map(|at| &candidates[at]).filter(&usable).take(CANDIDATES).collect();
-    if few.is_empty() {
-        few = candidates.iter().filter(usable).choose_multiple(rng, CANDIDATES);
+    let drawn = index::sample(rng, candidates.len(), MAX_DRAWN.min(candidates.len()));
+    let mut sampled: Vec<&Named> =
+        drawn.iter().map(|at| &candidates[at]).filter(&usable).take(MAX_CANDIDATES).collect();
+    if sampled.is_empty() {
+        sampled = candidates.iter().filter(usable).choose_multiple(rng, MAX_CANDIDATES);
     }
-    few.extend(matching);
-    few
+    sampled.extend(matching);
+    sampled
 }
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go.
+//! Tests of endpoint placement.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -43,7 +43,7 @@
     view: View,
     rng: ChaCha8Rng,
     endpoints: Vec<Named>,
-    sent: u32,
+    attempts: u32,
 }
 
 impl Fleet {
@@ -51,28 +51,28 @@
         let mut view = View::default();
         let endpoints = endpoints(count);
         endpoints.iter().for_each(|(name, _)| view.record_load(Time::ZERO, load(name, 40)));
-        Self { view, rng: ChaCha8Rng::seed_from_u64(1), endpoints, sent: 0 }
+        Self { view, rng: ChaCha8Rng::seed_from_u64(1), endpoints, attempts: 0 }
     }
 
     fn place(&mut self, now: Time, tried: &[&str]) -> Option<Arc<str>> {
-        self.sent += 1;
+        self.attempts += 1;
         let tried: BTreeSet<Arc<str>> = tried.iter().map(|name| Arc::from(*name)).collect();
         let search = Search {
             policy: Policy::Current,
             zone: "zone",
             candidates: &self.endpoints,
             need: Need::Decode(2),
-            attempt: Attempt { request: Request(self.sent.into()), number: 1 },
+            attempt: Attempt { request: Request(self.attempts.into()), number: 1 },
             tried: &tried,
         };
         self.view.place(now, &mut self.rng, &search)
     }
 }
 
-/// Loads are reported four times a second. All that an entry sends in between would go to the
-/// endpoint that was emptiest, and overrun it, if it did not count its own sends.
+/// An entry that ignored its own sends would send all work between two load reports to the same
+/// endpoint.
 #[test]
-fn sends_between_reports_spread_over_the_endpoints() {
+fn work_sent_between_load_reports_is_spread_over_endpoints() {
     let mut fleet = Fleet::new(4);
     let later = Time::ZERO.plus(Duration::from_millis(100));
     let mut counts = std::collections::BTreeMap::new();
@@ -82,17 +82,17 @@
     assert!(counts.len() == 4 && counts.values().all(|count| (6..=14).contains(count)), "{counts:?}");
 }
 
-/// Every engine crashed once and came back. A request that failed on each of them must still find
-/// one: innocent neighbours of a crash were refused with no_endpoint.
+/// A request that has failed on every endpoint must not be refused with `no_endpoint` while they are
+/// up again.
 #[test]
-fn tried_endpoints_are_better_than_none() {
+fn tried_endpoints_are_used_if_there_are_no_others() {
     let mut fleet = Fleet::new(3);
     assert_eq!(fleet.place(Time::ZERO, &["e0", "e1"]).as_deref(), Some("e2"));
     assert!(fleet.place(Time::ZERO, &["e0", "e1", "e2"]).is_some());
 }
 
 #[test]
-fn endpoints_without_a_link_or_leaving_are_never_chosen() {
+fn disconnected_and_leaving_endpoints_are_never_chosen() {
     let mut fleet = Fleet::new(3);
     fleet.view.set_link_up(["e0".into(), "e1".into()].into_iter(), false);
     assert_eq!(fleet.place(Time::ZERO, &[]).as_deref(), Some("e2"));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn endpoint_that_just_refused_is_passed_over_for_a_while() {
+fn endpoint_that_refused_work_is_avoided() {
     let mut fleet = Fleet::new(2);
     fleet.view.record_refusal(Time::ZERO, &"e0".into(), Duration::from_millis(50));
     assert!((0..10).all(|_| fleet.place(Time::ZERO, &[]).as_deref() == Some("e1")));
