--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,47 +1,46 @@
-//! Budgets that keep retries from feeding an outage.
+//! Retry budgets, which bound the extra load of retries during an outage.
 //!
-//! Each customer and each endpoint earns a part of a retry with every request that succeeds. When
-//! everything fails, retries stop after the first few. Overload is never retried at all.
+//! Each customer and each endpoint has a budget that successful requests refill. A retry draws on
+//! both budgets. Requests refused for overload are not retried.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use crate::message::FailureCause;
 
-/// Retries earned with each success.
-const EARNED: f64 = 0.2;
-/// Retries at hand before any success, and at most: a crash breaks the twenty or so requests of an
-/// engine at once, and a request that crashes one crashes a second before it is known.
-const MOST: f64 = 50.0;
-/// Tries of one request, the first included.
+/// Retries added to a budget per successful request.
+const CREDIT_PER_SUCCESS: f64 = 0.2;
+/// Initial and maximum budget, in retries; covers all requests of an engine that crashes.
+const MAX_CREDIT: f64 = 50.0;
+/// Maximum attempts per request, including the first.
 pub const MAX_ATTEMPTS: u32 = 3;
 
 /// Retry budgets by customer and by endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
-    /// Only names that have spent something; absent means [`MOST`].
-    left: BTreeMap<(Payer, Arc<str>), f64>,
+    /// Remaining retries; a missing key means [`MAX_CREDIT`].
+    credit: BTreeMap<(Scope, Arc<str>), f64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Payer {
+enum Scope {
     Customer,
     Endpoint,
 }
 
 impl Budget {
-    /// Notes a request that succeeded.
+    /// Refills the budgets of the customer and the endpoint after a successful request.
     pub fn record_success(&mut self, customer: &Arc<str>, endpoint: &Arc<str>) {
         for key in keys(customer, endpoint) {
-            let Some(left) = self.left.get_mut(&key) else { continue };
-            *left += EARNED;
-            if *left >= MOST {
-                self.left.remove(&key);
+            let Some(credit) = self.credit.get_mut(&key) else { continue };
+            *credit += CREDIT_PER_SUCCESS;
+            if *credit >= MAX_CREDIT {
+                self.credit.remove(&key);
             }
         }
     }
 
-    /// Whether a request that broke off at `endpoint` on its `number`th try may be tried again;
-    /// pays for it if so.
+    /// Returns whether a request whose attempt `number` failed at `endpoint` may be retried. If so,
+    /// deducts one retry from both budgets.
     pub fn try_spend(
         &mut self,
         customer: &Arc<str>,
@@ -53,23 +52,23 @@
             return false;
         }
         let keys = keys(customer, endpoint);
-        if keys.iter().any(|key| self.left.get(key).is_some_and(|left| *left < 1.0)) {
+        if keys.iter().any(|key| self.credit.get(key).is_some_and(|credit| *credit < 1.0)) {
             return false;
         }
         for key in keys {
-            *self.left.entry(key).or_insert(MOST) -= 1.0;
+            *self.credit.entry(key).or_insert(MAX_CREDIT) -= 1.0;
         }
         true
     }
 
-    /// How many budgets are below their maximum.
+    /// Returns the number of budgets below their maximum.
     pub fn len(&self) -> usize {
-        self.left.len()
+        self.credit.len()
     }
 
-    /// Whether every budget is at its maximum.
+    /// Returns whether every budget is at its maximum.
     pub fn is_empty(&self) -> bool {
-        self.left.is_empty()
+        self.credit.is_empty()
     }
 }
 
@@ -82,6 +81,6 @@
     }
 }
 
-fn keys(customer: &Arc<str>, endpoint: &Arc<str>) -> [(Payer, Arc<str>); 2] {
-    [(Payer::Customer, customer.clone()), (Payer::Endpoint, endpoint.clone())]
+fn keys(customer: &Arc<str>, endpoint: &Arc<str>) -> [(Scope, Arc<str>); 2] {
+    [(Scope::Customer, customer.clone()), (Scope::Endpoint, endpoint.clone())]
 }
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retry budgets.
+//! Tests of retry budgets.
 
 use std::sync::Arc;
 
@@ -11,28 +11,29 @@
     ("faculty".into(), "decode".into())
 }
 
-/// Everything fails. Retries without a budget would multiply the load on what is left.
+/// Unbounded retries would multiply the load during an outage.
 #[test]
-fn retries_stop_when_everything_fails() {
+fn retries_stop_if_every_request_fails() {
     let (customer, endpoint) = names();
     let mut budget = Budget::default();
-    let spent =
+    let retries =
         (0..10_000).filter(|_| budget.try_spend(&customer, &endpoint, 1, FailureCause::Crashed)).count();
-    assert!((20..=100).contains(&spent), "{spent}");
+    assert!((20..=100).contains(&retries), "{retries}");
 }
 
 #[test]
-fn success_earns_a_part_of_a_retry() {
+fn successes_refill_the_budget_in_part() {
     let (customer, endpoint) = names();
     let mut budget = Budget::default();
     while budget.try_spend(&customer, &endpoint, 1, FailureCause::Crashed) {}
     (0..10).for_each(|_| budget.record_success(&customer, &endpoint));
-    let spent = (0..100).filter(|_| budget.try_spend(&customer, &endpoint, 1, FailureCause::Crashed)).count();
-    assert!((1..10).contains(&spent), "{spent}");
+    let retries =
+        (0..100).filter(|_| budget.try_spend(&customer, &endpoint, 1, FailureCause::Crashed)).count();
+    assert!((1..10).contains(&retries), "{retries}");
 }
 
 #[test]
-fn one_customer_cannot_spend_anothers_budget() {
+fn customers_have_separate_budgets() {
     let (customer, endpoint) = names();
     let mut budget = Budget::default();
     while budget.try_spend(&customer, &endpoint, 1, FailureCause::Crashed) {}
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn errors_of_the_request_and_last_tries_are_not_retried() {
+fn engine_errors_and_last_attempts_are_not_retried() {
     let (customer, endpoint) = names();
     let mut budget = Budget::default();
     assert!(!budget.try_spend(&customer, &endpoint, 1, FailureCause::Failed));
