--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,7 +1,7 @@
-//! Time as the decisions see it, and the clock handed in at the edges of a process.
+//! Time points and clocks.
 //!
-//! async-std has no clock that tests can pause, so [`Clock`] is the nearest fit: the runtime's
-//! clock in daemons, a manual one in tests.
+//! [`Clock`] is the system clock in daemons and a manual clock in tests, since async-std has no
+//! clock that tests can control.
 
 use std::{
     collections::BTreeMap,
@@ -11,66 +11,66 @@
 
 use async_channel::Sender;
 
-/// A point in time, in microseconds since the origin of the [`Clock`] that gave it.
+/// Point in time, in microseconds since the origin of its [`Clock`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(u64);
 
 impl Time {
-    /// The origin of the clock.
+    /// Origin of the clock.
     pub const ZERO: Self = Self(0);
 
-    /// The point `micros` microseconds after the origin.
+    /// Returns the time `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The point `span` later; saturates.
+    /// Returns the time `span` later, saturating.
     pub fn plus(self, span: Duration) -> Self {
         Self(self.0.saturating_add(micros(span)))
     }
 
-    /// The point `span` earlier; stops at the origin.
+    /// Returns the time `span` earlier, saturating at the origin.
     pub fn minus(self, span: Duration) -> Self {
         Self(self.0.saturating_sub(micros(span)))
     }
 
-    /// The span from `earlier` to here; zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 }
 
-/// Part that is left, after `passed`, of something that halves in every `half_life`.
+/// Returns the factor by which a value with the given half-life decays over `passed`.
 pub fn decay_factor(passed: Duration, half_life: Duration) -> f64 {
     0.5_f64.powf(passed.as_secs_f64() / half_life.as_secs_f64())
 }
 
-/// Whole microseconds of `span`; saturates.
+/// Returns the whole microseconds of `span`, saturating.
 pub fn micros(span: Duration) -> u64 {
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// The source of time of one process.
+/// Time source of a process.
 #[derive(Clone, Debug)]
 pub enum Clock {
-    /// Monotonic time of the operating system, counted from the origin.
+    /// Monotonic system time, relative to the origin.
     Runtime(Instant),
-    /// Time that stands still until [`Manual::advance`] moves it.
+    /// Time that only [`Manual::advance`] moves.
     Manual(Manual),
 }
 
 impl Clock {
-    /// A clock that runs, with its origin now.
+    /// Creates a system clock whose origin is the current time.
     pub fn runtime() -> Self {
         Self::Runtime(Instant::now())
     }
 
-    /// The current time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         match self {
             Self::Runtime(origin) => Time::ZERO.plus(origin.elapsed()),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Completes once `span` has passed on this clock.
+    /// Waits until `span` has passed on this clock.
     pub async fn sleep(&self, span: Duration) {
         match self {
             Self::Runtime(_) => async_std::task::sleep(span).await,
@@ -87,49 +87,49 @@
     }
 }
 
-/// A clock that only tests move. Clones share one time.
+/// Manually advanced clock for tests. Clones share the same time.
 #[derive(Clone, Debug, Default)]
-pub struct Manual(Arc<Mutex<Paused>>);
+pub struct Manual(Arc<Mutex<ManualState>>);
 
 #[derive(Debug, Default)]
-struct Paused {
+struct ManualState {
     now: Time,
-    /// Sleepers by the time they wake, then by the order in which they came.
+    /// Pending sleeps, keyed by wake-up time, then by order of arrival.
     sleepers: BTreeMap<(Time, u64), Sender<()>>,
-    next: u64,
+    next_sequence: u64,
 }
 
 impl Manual {
-    /// The current time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.lock().now
     }
 
-    /// Moves time on by `span` and wakes every sleeper whose time has come.
+    /// Advances the time by `span` and completes the sleeps that are due.
     pub fn advance(&self, span: Duration) {
-        let mut paused = self.lock();
-        paused.now = paused.now.plus(span);
-        let next = paused.now.plus(Duration::from_micros(1));
-        let later = paused.sleepers.split_off(&(next, 0));
-        // Dropping a sender completes the sleeper's receive.
-        paused.sleepers = later;
+        let mut state = self.lock();
+        state.now = state.now.plus(span);
+        let next = state.now.plus(Duration::from_micros(1));
+        let later = state.sleepers.split_off(&(next, 0));
+        // Dropping a sender completes the receive in `sleep`.
+        state.sleepers = later;
     }
 
     async fn sleep(&self, span: Duration) {
         let (sender, receiver) = async_channel::bounded::<()>(1);
         {
-            let mut paused = self.lock();
+            let mut state = self.lock();
             if span.is_zero() {
                 return;
             }
-            let key = (paused.now.plus(span), paused.next);
-            paused.next += 1;
-            paused.sleepers.insert(key, sender);
+            let key = (state.now.plus(span), state.next_sequence);
+            state.next_sequence += 1;
+            state.sleepers.insert(key, sender);
         }
         let _ = receiver.recv().await;
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Paused> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, ManualState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,12 +1,12 @@
-//! Identifiers of requests and of the attempts to serve them.
+//! Identifiers of requests and attempts.
 
 use std::{fmt, num::ParseIntError, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies one request of a caller over its whole life; random.
+/// Random identifier of a request, kept across its attempts.
 ///
-/// Written as 32 hex digits, in JSON too: JSON numbers do not hold 128 bits.
+/// Formatted as 32 hex digits, in JSON too, since JSON numbers cannot hold 128 bits exactly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Request(pub u128);
@@ -39,12 +39,12 @@
     }
 }
 
-/// One try at serving a request. Whatever bears an older number is dropped on arrival.
+/// Identifier of one attempt to serve a request. Messages of older attempts are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The request served.
+    /// Request that the attempt serves.
     pub request: Request,
-    /// Counts the tries from 1.
+    /// Number of the attempt, starting at 1.
     pub number: u32,
 }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of the router: who may run, where, when, and at whose expense.
+//! Routing logic: admission, quotas, placement, scheduling and retries.
 //!
-//! Nothing here does I/O, spawns tasks, reads a clock or touches a global. Every decision takes
-//! `now` and a typed event and returns typed actions, so the same code runs in the daemon, under
-//! quickcheck and in the bench.
+//! The state machines in this crate do no I/O, spawn no tasks, read no clock and use no global
+//! state. They take the current time and an input and return actions, so the same code runs in the
+//! daemon, in property tests and in benchmarks.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -1,61 +1,61 @@
-//! Refusals: stable codes that callers, logs and metrics share.
+//! Refusals and their codes, which are stable across the API, logs and metrics.
 
 use std::time::Duration;
 
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
-/// Why a request got no answer. The names are part of the callers' API.
+/// Reason why a request was refused or failed. The names are part of the public API.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display, EnumString, EnumIter, IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum Code {
-    /// The request cannot be read: malformed JSON, an unknown field, a wrong type.
+    /// The request is invalid: malformed JSON, an unknown field or a wrong type.
     BadRequest,
-    /// The body is larger than the entry takes.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// Head or body arrived too slowly.
+    /// The request head or body was not received in time.
     SlowRequest,
-    /// No such path or method.
+    /// The path or method does not exist.
     NotFound,
-    /// No endpoint serves the model or service named.
+    /// No endpoint serves the requested model or service.
     UnknownModel,
-    /// The prompt and the answer asked for do not fit the model.
+    /// The prompt and the requested answer exceed the context of the model.
     PromptTooLong,
-    /// No key, or one that is unknown or withdrawn.
+    /// The key is missing, unknown or withdrawn.
     BadKey,
-    /// The customer has spent its rate and burst.
+    /// The customer has exceeded its rate limit.
     OverRate,
-    /// The customer's home cannot be reached, so its rate is not known.
+    /// The rate limit cannot be checked because the customer's home is unreachable.
     QuotaUnavailable,
-    /// No endpoint can meet the first-token target any more.
+    /// No endpoint has the capacity to serve the request in time.
     Overloaded,
-    /// All endpoints for this work are leaving or gone.
+    /// Every endpoint for the request is leaving or unreachable.
     NoEndpoint,
-    /// The entry cannot bound the age of its settings.
+    /// The settings of the entry may be stale.
     SettingsUnconfirmed,
     /// The entry is shutting down.
     ShuttingDown,
-    /// This request has crashed endpoints and is refused for a while.
+    /// The request has crashed endpoints and is quarantined.
     Quarantined,
-    /// The record of a call that may not be repeated cannot be written.
+    /// The idempotency record of the call cannot be written.
     RecordUnavailable,
-    /// The idempotency key was used with another body.
+    /// The idempotency key was already used with another body.
     KeyReused,
-    /// A call that may not be repeated is still running under this key.
+    /// A call with the same idempotency key is still running.
     InProgress,
-    /// It cannot be told whether the call took effect.
+    /// The call may or may not have taken effect.
     OutcomeUnknown,
-    /// The caller's or the operator's time ran out.
+    /// The time limit of the caller or the operator expired.
     Timeout,
-    /// The answer broke off and could not be resumed.
+    /// The answer failed partway and could not be resumed.
     Broken,
-    /// The caller left.
+    /// The caller disconnected or cancelled.
     Cancelled,
 }
 
 impl Code {
-    /// The HTTP status that carries the code.
+    /// Returns the HTTP status for the code.
     pub fn status(self) -> u16 {
         match self {
             Self::BadRequest | Self::PromptTooLong => 400,
@@ -79,31 +79,31 @@
     }
 }
 
-/// A refusal as the caller gets it.
+/// An error response to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// What went wrong.
+    /// Machine-readable reason.
     pub code: Code,
-    /// Says more, for people.
+    /// Human-readable explanation.
     pub message: String,
-    /// True only if no endpoint has run any part of the request and none will.
+    /// True only if no endpoint has run or will run any part of the request.
     pub not_run: bool,
-    /// When trying again makes sense.
+    /// How long to wait before a retry, if known.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal of a request that never reached an endpoint.
+    /// Creates a refusal of a request that no endpoint has run or will run.
     pub fn not_run(code: Code, message: impl Into<String>) -> Self {
         Self { code, message: message.into(), not_run: true, retry_after: None }
     }
 
-    /// A refusal of a request that may have run in part.
+    /// Creates a refusal of a request that an endpoint may have run at least in part.
     pub fn may_have_run(code: Code, message: impl Into<String>) -> Self {
         Self { code, message: message.into(), not_run: false, retry_after: None }
     }
 
-    /// The same refusal, telling the caller when to come back.
+    /// Sets how long the caller should wait before a retry.
     pub fn with_retry_after(mut self, span: Duration) -> Self {
         self.retry_after = Some(span);
         self
