--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -245,7 +245,7 @@
                 self.enqueue(now, link, work, Task::Call(call), Duration::ZERO, actions);
             }
             Order::Decode { work, source, kv, from_index, held } => {
-                let import = Import { link, work, source, kv, from_index, queued: now };
+                let import = Import { link, work, source, kv, from_index, queued_at: now };
                 self.enqueue_import(now, import, held, actions);
             }
             Order::Cancel(attempt) => self.cancel(now, link, attempt, actions),
--- a/crates/core/src/agent/scheduler.rs
+++ b/crates/core/src/agent/scheduler.rs
@@ -46,7 +46,7 @@
     pub(super) source: Arc<str>,
     pub(super) kv: Arc<str>,
     pub(super) from_index: u32,
-    pub(super) queued: Time,
+    pub(super) queued_at: Time,
 }
 
 /// Work started by an action.
@@ -54,7 +54,7 @@
 pub(super) struct Active {
     pub(super) link: Link,
     pub(super) work: Work,
-    started: Time,
+    started_at: Time,
     pub(super) aborted: bool,
 }
 
@@ -182,7 +182,7 @@
     /// Returns the estimated number of prompt tokens that running prefills have left.
     fn remaining_prefill_tokens(&self, now: Time, rate: f64) -> u64 {
         let remaining = |active: &Active| {
-            let done = now.since(active.started).as_secs_f64() * rate;
+            let done = now.since(active.started_at).as_secs_f64() * rate;
             u64::from(active.work.prompt_tokens).saturating_sub(done as u64)
         };
         self.active.values().map(remaining).sum()
@@ -261,7 +261,7 @@
     }
 
     pub(super) fn record_outcome(&mut self, now: Time, active: &Active, outcome: &Outcome) {
-        let elapsed = now.since(active.started).as_secs_f64().max(1e-6);
+        let elapsed = now.since(active.started_at).as_secs_f64().max(1e-6);
         match outcome {
             Outcome::Prefilled { .. } => {
                 let rate = f64::from(active.work.prompt_tokens.max(1)) / elapsed;
@@ -299,7 +299,7 @@
             self.hold_links.remove(&attempt);
         }
         let (overdue, rest): (Vec<_>, Vec<_>) =
-            self.imports.drain(..).partition(|import| now.since(import.queued) > IMPORT_TIMEOUT);
+            self.imports.drain(..).partition(|import| now.since(import.queued_at) > IMPORT_TIMEOUT);
         self.imports = rest;
         for import in overdue {
             let attempt = import.work.attempt;
@@ -335,7 +335,7 @@
     }
 
     fn mark_active(&mut self, now: Time, job: &Job) {
-        let active = Active { link: job.link, work: job.work.clone(), started: now, aborted: false };
+        let active = Active { link: job.link, work: job.work.clone(), started_at: now, aborted: false };
         self.active.insert(job.work.attempt, active);
     }
 
@@ -382,7 +382,7 @@
             }
             self.hold_links.remove(&import.work.attempt);
             let Import { link, work, source, kv, from_index, .. } = import;
-            let active = Active { link, work: work.clone(), started: now, aborted: false };
+            let active = Active { link, work: work.clone(), started_at: now, aborted: false };
             self.active.insert(work.attempt, active);
             actions.push(Action::Decode { link, work, source, kv, from_index });
         }
