--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -1,8 +1,8 @@
 //! Quarantine of requests that crash the endpoints they run on.
 //!
 //! Every request that runs on an endpoint when it crashes becomes a suspect. A request fingerprint
-//! (customer and body) involved in [`CRASH_LIMIT`] crashes is refused for [`QUARANTINE`]. The
-//! customer's home keeps the counts, so a retry through another entry does not reset them.
+//! (customer and body) involved in [`CRASH_LIMIT`] crashes is refused for [`QUARANTINE`]. Entries
+//! report crashes to each other, so a retry through another entry does not reset the count.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
