--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -257,7 +257,7 @@
             peer: SocketAddr::from(([127, 0, 0, 1], 0)),
             hosts: Some(self.hosts.address()),
             first_token: Duration::from_millis(900),
-            patience: Duration::from_secs(4),
+            first_token_timeout: Duration::from_secs(4),
             rate_wait: Duration::from_millis(300),
             limits: Limits { body: 1 << 20, ..Limits::default() },
             policy: self.shape.policy,
--- a/crates/daemon/src/agent/control.rs
+++ b/crates/daemon/src/agent/control.rs
@@ -125,11 +125,11 @@
 
     fn dump(&self) -> Value {
         let loads: Vec<Value> = self.state.loads().iter().map(load).collect();
-        let beat = self.current.beat();
+        let heartbeat = self.current.heartbeat();
         json!({
             "role": "agent",
-            "settings_version": beat.version,
-            "settings_age_ms": u64::try_from(beat.age.as_millis()).unwrap_or(u64::MAX),
+            "settings_version": heartbeat.version,
+            "settings_age_ms": u64::try_from(heartbeat.age.as_millis()).unwrap_or(u64::MAX),
             "links": self.links.len(),
             "endpoints": loads,
             "tombstones": self.state.tombstones(),
--- a/crates/daemon/src/agent/server.rs
+++ b/crates/daemon/src/agent/server.rs
@@ -77,9 +77,9 @@
         let orders = request.into_inner();
         task::spawn(async move {
             let pace = Pace::default();
-            let beats = beat(&control, &current, &sender, &pace);
+            let heartbeats = heartbeat(&control, &current, &sender, &pace);
             let reads = read(&control, &current, link, orders, &pace);
-            reads.or(beats).await;
+            reads.or(heartbeats).await;
             control.input(Input::LinkLost(link));
             current.freshness(|freshness| freshness.forget(&link_name(link)));
             sender.close();
@@ -115,9 +115,9 @@
         let silence = pace.every() * MISSED + SILENCE_GRACE;
         let Ok(Some(Ok(order))) = async_std::future::timeout(silence, orders.next()).await else { return };
         match Order::try_from(order) {
-            Ok(Order::Heartbeat(beat)) => {
-                pace.set(beat.interval);
-                current.heard(&link_name(link), &beat);
+            Ok(Order::Heartbeat(heartbeat)) => {
+                pace.set(heartbeat.interval);
+                current.heard(&link_name(link), &heartbeat);
             }
             Ok(order) => control.input(Input::Order(link, order)),
             Err(error) => spdlog::warn!("order ignored: {error}"),
@@ -130,13 +130,13 @@
     format!("link {link}").into()
 }
 
-async fn beat(control: &Control, current: &Current, events: &async_channel::Sender<Event>, pace: &Pace) {
+async fn heartbeat(control: &Control, current: &Current, events: &async_channel::Sender<Event>, pace: &Pace) {
     loop {
-        let mut beat = current.beat();
+        let mut heartbeat = current.heartbeat();
         // Without its control thread the agent is dead, and must look so.
         let Some(loads) = control.loads().await else { return };
-        beat.loads = loads;
-        if events.send(Event::Heartbeat(beat)).await.is_err() {
+        heartbeat.loads = loads;
+        if events.send(Event::Heartbeat(heartbeat)).await.is_err() {
             return;
         }
         task::sleep(pace.every()).await;
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -215,7 +215,7 @@
     /// Target for the first token.
     pub first_token: Duration,
     /// Longest wait for the first token.
-    pub patience: Duration,
+    pub first_token_timeout: Duration,
     /// Longest wait for tokens of the customer's rate.
     pub rate_wait: Duration,
     /// Bounds on what callers send.
@@ -327,7 +327,7 @@
             peer: address("peer", &entry.peer)?,
             hosts: entry.hosts.map(|hosts| address("hosts", &hosts)).transpose()?,
             first_token: millis("first-token-ms", entry.first_token_ms, 10, 600_000)?,
-            patience: millis("patience-ms", entry.patience_ms, entry.first_token_ms, 600_000)?,
+            first_token_timeout: millis("patience-ms", entry.patience_ms, entry.first_token_ms, 600_000)?,
             rate_wait: millis("rate-wait-ms", entry.rate_wait_ms, 0, 60_000)?,
             limits,
             policy,
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -80,7 +80,7 @@
         let context = Arc::new(Context {
             name: common.name,
             first_token: settings.first_token,
-            patience: settings.patience,
+            first_token_timeout: settings.first_token_timeout,
             rate_wait: settings.rate_wait,
             policy: settings.policy,
             operator_token: settings.operator_token,
@@ -99,7 +99,7 @@
         let mut tasks = vec![
             task::spawn(follow(context.clone(), common.poll)),
             task::spawn(homes::keep(context.clone(), settings.hosts, looks)),
-            task::spawn(exchange::beat(context.clone())),
+            task::spawn(exchange::heartbeat(context.clone())),
             exchange::serve(incoming, context.clone()),
         ];
         let operators = context.clone();
--- a/crates/daemon/src/entry/context.rs
+++ b/crates/daemon/src/entry/context.rs
@@ -27,7 +27,7 @@
 pub(crate) struct Context {
     pub(crate) name: Arc<str>,
     pub(crate) first_token: Duration,
-    pub(crate) patience: Duration,
+    pub(crate) first_token_timeout: Duration,
     pub(crate) rate_wait: Duration,
     pub(crate) policy: Policy,
     pub(crate) operator_token: Option<Arc<str>>,
@@ -65,14 +65,14 @@
 
     /// Counts a crash here and tells all other entries, so that sending the request again through
     /// another one does not start the count anew. Crashes are rare, so telling all costs little.
-    pub(crate) async fn strike(self: &Arc<Self>, customer: &Arc<str>, fingerprint: u64) -> CrashStatus {
+    pub(crate) async fn report_crash(self: &Arc<Self>, customer: &Arc<str>, fingerprint: u64) -> CrashStatus {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
         for address in self.control.addresses((*entries).clone()).await.into_values() {
             let context = self.clone();
             let ask = PeerRequest::CrashStatus { customer: customer.clone(), fingerprint, crashed: true };
             task::spawn(async move { context.peers.ask(&address, &context.name, ask).await });
         }
-        self.control.strike(customer, fingerprint, true).await
+        self.control.crash_status(customer, fingerprint, true).await
     }
 
     /// Sets the other entries known.
--- a/crates/daemon/src/entry/control.rs
+++ b/crates/daemon/src/entry/control.rs
@@ -76,9 +76,9 @@
     Link(Vec<Arc<str>>, bool),
     Earn(Arc<str>, Arc<str>),
     Retry(Failure, Sender<bool>),
-    Strike(Arc<str>, u64, bool, Sender<CrashStatus>),
+    CrashStatus(Arc<str>, u64, bool, Sender<CrashStatus>),
     Clear(Arc<str>, u64),
-    Ask(Arc<str>, PeerRequest, Sender<PeerReply>),
+    PeerRequest(Arc<str>, PeerRequest, Sender<PeerReply>),
     Lent(Arc<str>, u64, Option<Grant>),
     Renewal(Sender<home::Write>),
     Renewed(Time),
@@ -171,9 +171,15 @@
     }
 
     /// Counts a crash, or looks up those counted.
-    pub(crate) async fn strike(&self, customer: &Arc<str>, fingerprint: u64, crashed: bool) -> CrashStatus {
-        let strike = self.ask(|reply| Command::Strike(customer.clone(), fingerprint, crashed, reply)).await;
-        strike.unwrap_or_default()
+    pub(crate) async fn crash_status(
+        &self,
+        customer: &Arc<str>,
+        fingerprint: u64,
+        crashed: bool,
+    ) -> CrashStatus {
+        let status =
+            self.ask(|reply| Command::CrashStatus(customer.clone(), fingerprint, crashed, reply)).await;
+        status.unwrap_or_default()
     }
 
     /// Clears a suspect that ran to its end.
@@ -183,7 +189,7 @@
 
     /// Answers another entry.
     pub(crate) async fn answer(&self, from: Arc<str>, ask: PeerRequest) -> Option<PeerReply> {
-        self.ask(|reply| Command::Ask(from, ask, reply)).await
+        self.ask(|reply| Command::PeerRequest(from, ask, reply)).await
     }
 
     /// Hands a home's reply in; none if it could not be reached or is elsewhere.
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -49,7 +49,7 @@
 }
 
 /// Beats to all other entries for ever.
-pub(crate) async fn beat(context: Arc<Context>) {
+pub(crate) async fn heartbeat(context: Arc<Context>) {
     loop {
         let entries = context.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let count = u32::try_from(entries.len()).unwrap_or(u32::MAX);
@@ -60,11 +60,11 @@
         for (name, address) in addresses {
             let context = context.clone();
             task::spawn(async move {
-                let ask = PeerRequest::Heartbeat(context.current.beat());
-                if let Some(PeerReply::Heartbeat(beat)) =
+                let ask = PeerRequest::Heartbeat(context.current.heartbeat());
+                if let Some(PeerReply::Heartbeat(heartbeat)) =
                     context.peers.ask(&address, &context.name, ask).await
                 {
-                    context.current.heard(&name, &beat);
+                    context.current.heard(&name, &heartbeat);
                 }
             });
         }
--- a/crates/daemon/src/entry/links.rs
+++ b/crates/daemon/src/entry/links.rs
@@ -159,11 +159,11 @@
         let outbound = receiver.map(proto::Order::from);
         let events = AgentClient::new(channel).link(outbound).await?.into_inner();
         self.up(agent, orders.clone());
-        let beats = async {
-            self.beat(&orders).await;
+        let heartbeats = async {
+            self.heartbeat(&orders).await;
             Ok(())
         };
-        self.read(agent, events).or(beats).await
+        self.read(agent, events).or(heartbeats).await
     }
 
     /// Reads events until the link ends or falls silent for good, which only the missing
@@ -179,8 +179,8 @@
             let next = async_std::future::timeout(silence, events.next()).await;
             let Some(event) = next.map_err(invalid)? else { return Ok(()) };
             match Event::try_from(event?) {
-                Ok(Event::Heartbeat(beat)) => {
-                    self.heard(agent, beat);
+                Ok(Event::Heartbeat(heartbeat)) => {
+                    self.heard(agent, heartbeat);
                     silence = self.silence();
                 }
                 Ok(event) => self.deliver(event),
@@ -189,9 +189,9 @@
         }
     }
 
-    fn heard(&self, agent: &Arc<str>, beat: Heartbeat) {
-        self.0.current.heard(&format!("agent {agent}").into(), &beat);
-        self.0.control.loads(beat.loads);
+    fn heard(&self, agent: &Arc<str>, heartbeat: Heartbeat) {
+        self.0.current.heard(&format!("agent {agent}").into(), &heartbeat);
+        self.0.control.loads(heartbeat.loads);
     }
 
     /// One slow caller must not hold up the link that all share: an inbox that is full is closed,
@@ -205,11 +205,11 @@
         }
     }
 
-    async fn beat(&self, orders: &Sender<Order>) {
+    async fn heartbeat(&self, orders: &Sender<Order>) {
         loop {
             let interval = self.every();
-            let beat = Heartbeat { interval, ..self.0.current.beat() };
-            if orders.send(Order::Heartbeat(beat)).await.is_err() {
+            let heartbeat = Heartbeat { interval, ..self.0.current.heartbeat() };
+            if orders.send(Order::Heartbeat(heartbeat)).await.is_err() {
                 return;
             }
             task::sleep(interval).await;
--- a/crates/daemon/src/entry/operators.rs
+++ b/crates/daemon/src/entry/operators.rs
@@ -60,10 +60,10 @@
 
 async fn dump(context: &Context) -> Outbound {
     let mut state = context.control.dump().await;
-    let beat = context.current.beat();
+    let heartbeat = context.current.heartbeat();
     let (links, up) = context.links.count();
-    state["settings_version"] = beat.version.into();
-    state["settings_age_ms"] = u64::try_from(beat.age.as_millis()).unwrap_or(u64::MAX).into();
+    state["settings_version"] = heartbeat.version.into();
+    state["settings_age_ms"] = u64::try_from(heartbeat.age.as_millis()).unwrap_or(u64::MAX).into();
     state["running"] = context.running.load(std::sync::atomic::Ordering::Relaxed).into();
     state["links"] = json!({"wanted": links, "up": up});
     state["serving"] = context.check_serving().is_ok().into();
--- a/crates/daemon/src/entry/owner.rs
+++ b/crates/daemon/src/entry/owner.rs
@@ -171,11 +171,11 @@
                 let Failure { customer, endpoint, number, cause } = failure;
                 let _ = reply.try_send(self.budget.try_spend(&customer, &endpoint, number, cause));
             }
-            Command::Strike(customer, fingerprint, crashed, reply) => {
-                let _ = reply.try_send(self.strike(now, &customer, fingerprint, crashed));
+            Command::CrashStatus(customer, fingerprint, crashed, reply) => {
+                let _ = reply.try_send(self.crash_status(now, &customer, fingerprint, crashed));
             }
             Command::Clear(customer, fingerprint) => self.quarantine.clear(&customer, fingerprint),
-            Command::Ask(from, ask, reply) => {
+            Command::PeerRequest(from, ask, reply) => {
                 let _ = reply.try_send(self.answer(now, &from, ask));
             }
             Command::Lent(customer, serial, grant) => self.lent(now, &customer, serial, grant),
@@ -366,7 +366,13 @@
         let _ = self.look.try_send(());
     }
 
-    fn strike(&mut self, now: Time, customer: &Arc<str>, fingerprint: u64, crashed: bool) -> CrashStatus {
+    fn crash_status(
+        &mut self,
+        now: Time,
+        customer: &Arc<str>,
+        fingerprint: u64,
+        crashed: bool,
+    ) -> CrashStatus {
         match crashed {
             true => self.quarantine.record_crash(now, customer, fingerprint),
             false => self.quarantine.status(now, customer, fingerprint),
@@ -382,12 +388,12 @@
                     Err(elsewhere) => PeerReply::NotHome { owner: elsewhere.owner, epoch: elsewhere.epoch },
                 }
             }
-            PeerRequest::Heartbeat(beat) => {
-                self.current.heard(from, &beat);
-                PeerReply::Heartbeat(self.current.beat())
+            PeerRequest::Heartbeat(heartbeat) => {
+                self.current.heard(from, &heartbeat);
+                PeerReply::Heartbeat(self.current.heartbeat())
             }
             PeerRequest::CrashStatus { customer, fingerprint, crashed } => {
-                PeerReply::CrashStatus(self.strike(now, &customer, fingerprint, crashed))
+                PeerReply::CrashStatus(self.crash_status(now, &customer, fingerprint, crashed))
             }
             PeerRequest::RefreshHomes => {
                 self.look();
--- a/crates/daemon/src/entry/stages/complete.rs
+++ b/crates/daemon/src/entry/stages/complete.rs
@@ -151,13 +151,13 @@
 
 /// Refuses a request that has crashed too many endpoints, and marks one that was seen at a crash.
 async fn quarantined(context: &Context, ticket: &mut Ticket, mark: u64) -> Result<(), Refusal> {
-    let strike = context.control.strike(&ticket.key.customer, mark, false).await;
-    ticket.suspect = strike.is_suspect();
-    if strike.quarantined.is_zero() {
+    let status = context.control.crash_status(&ticket.key.customer, mark, false).await;
+    ticket.suspect = status.is_suspect();
+    if status.quarantined.is_zero() {
         return Ok(());
     }
     let message = "this request has crashed endpoints and is refused for a while";
-    Err(Refusal::not_run(Code::Quarantined, message).with_retry_after(strike.quarantined))
+    Err(Refusal::not_run(Code::Quarantined, message).with_retry_after(status.quarantined))
 }
 
 /// What the attempts of one request have come to so far.
@@ -199,7 +199,7 @@
             Err(Failure::Full { endpoint, retry_after }) => {
                 context.control.avoid(&endpoint, AVOID.max(retry_after.min(context.first_token)));
                 tries.full += 1;
-                let late = super::plan::patience(context, ticket).is_zero();
+                let late = super::plan::remaining_timeout(context, ticket).is_zero();
                 if tries.full > ALTERNATIVES || late {
                     return Err(overloaded(tries.ran, retry_after));
                 }
@@ -230,7 +230,7 @@
     let customer = ticket.key.customer.clone();
     if cause == FailureCause::Crashed {
         ticket.suspect = true;
-        if !context.strike(&customer, mark).await.quarantined.is_zero() {
+        if !context.report_crash(&customer, mark).await.quarantined.is_zero() {
             return Err(broken(cause));
         }
     }
--- a/crates/daemon/src/entry/stages/plan.rs
+++ b/crates/daemon/src/entry/stages/plan.rs
@@ -23,7 +23,7 @@
 const ANSWER_GRACE: Duration = Duration::from_millis(500);
 /// Patience of suspects of a crash. They run one at a time, and most of them are innocent and have
 /// been paid for.
-const SUSPECT_PATIENCE: Duration = Duration::from_secs(30);
+const SUSPECT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Slack of the baselines, which know no early refusal.
 const NO_SLACK: Duration = Duration::from_secs(30);
 
@@ -52,7 +52,7 @@
         prompt_tokens: completion.prompt_tokens(),
         max_tokens: completion.max_tokens,
         slack: slack(context, ticket),
-        timeout: patience(context, ticket),
+        timeout: remaining_timeout(context, ticket),
         suspect: ticket.suspect,
     }
 }
@@ -66,11 +66,15 @@
 }
 
 /// Time left until the request is given up.
-pub(super) fn patience(context: &Context, ticket: &Ticket) -> Duration {
+pub(super) fn remaining_timeout(context: &Context, ticket: &Ticket) -> Duration {
     if !context.policy.uses_holds() {
         return NO_SLACK;
     }
-    let all = if ticket.suspect { context.patience.max(SUSPECT_PATIENCE) } else { context.patience };
+    let all = if ticket.suspect {
+        context.first_token_timeout.max(SUSPECT_TIMEOUT)
+    } else {
+        context.first_token_timeout
+    };
     all.saturating_sub(context.clock.now().since(ticket.waiting))
 }
 
--- a/crates/daemon/src/entry/stages/prefill.rs
+++ b/crates/daemon/src/entry/stages/prefill.rs
@@ -12,7 +12,7 @@
 use super::{
     Ticket,
     attempt::{Dispatch, Failure},
-    plan::{Planned, no_endpoint, patience, work},
+    plan::{Planned, no_endpoint, remaining_timeout, work},
 };
 use crate::entry::{
     context::Context,
@@ -96,7 +96,7 @@
     let delay = planned.ready_in.saturating_sub(placed.prefill);
     let order = Order::Prefill { work, prompt: completion.prompt.clone(), delay };
     dispatch.send(&placed.agent, &placed.endpoint, order)?;
-    let limit = patience(context, ticket) + LONGEST;
+    let limit = remaining_timeout(context, ticket) + LONGEST;
     let began = context.clock.now();
     loop {
         if let Event::Prefilled { source, kv, .. } = dispatch.next(&placed.endpoint, limit).await? {
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -50,17 +50,17 @@
     }
 
     /// A heartbeat that says which version is in force and how old that is.
-    pub(crate) fn beat(&self) -> Heartbeat {
+    pub(crate) fn heartbeat(&self) -> Heartbeat {
         let inner = self.lock();
         let age = inner.freshness.age(self.clock.now());
         Heartbeat { version: inner.snapshot.version, age, ..Heartbeat::default() }
     }
 
     /// Takes a peer's heartbeat, and asks the table if the peer has newer settings.
-    pub(crate) fn heard(&self, peer: &Arc<str>, beat: &Heartbeat) {
+    pub(crate) fn heard(&self, peer: &Arc<str>, heartbeat: &Heartbeat) {
         let now = self.clock.now();
-        self.freshness(|freshness| freshness.heard(now, peer, beat));
-        if beat.version > self.get().version {
+        self.freshness(|freshness| freshness.heard(now, peer, heartbeat));
+        if heartbeat.version > self.get().version {
             self.nudge();
         }
     }
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -104,7 +104,7 @@
                 kv: done.kv,
                 ttl: Duration::from_millis(done.lives_ms),
             },
-            Err(error) => Outcome::Failed(breakage(&error)),
+            Err(error) => Outcome::Failed(failure_cause(&error)),
         }
     }
 
@@ -150,17 +150,17 @@
         }
         let answer = match self.pool.send(self.address, request, WORK_TIMEOUT).await {
             Ok(answer) => answer,
-            Err(error) => return Outcome::Failed(breakage(&error)),
+            Err(error) => return Outcome::Failed(failure_cause(&error)),
         };
         let status = answer.status();
         match answer.bytes().await {
             Ok(body) => Outcome::Answered { status, body },
-            Err(error) => Outcome::Failed(breakage(&error)),
+            Err(error) => Outcome::Failed(failure_cause(&error)),
         }
     }
 }
 
-fn breakage(error: &client::Error) -> FailureCause {
+fn failure_cause(error: &client::Error) -> FailureCause {
     match error {
         client::Error::Connect(_) | client::Error::Broken(_) => FailureCause::Crashed,
         client::Error::Timeout => FailureCause::Stalled,
@@ -192,7 +192,7 @@
         Box::pin(async move {
             match self.run_decode(&body, sink).await {
                 Ok(outcome) => outcome,
-                Err(error) => Outcome::Failed(breakage(&error)),
+                Err(error) => Outcome::Failed(failure_cause(&error)),
             }
         })
     }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -92,12 +92,12 @@
 }
 
 impl From<Heartbeat> for proto::Beat {
-    fn from(beat: Heartbeat) -> Self {
+    fn from(heartbeat: Heartbeat) -> Self {
         Self {
-            version: beat.version,
-            age_us: micros(beat.age),
-            every_us: micros(beat.interval),
-            loads: beat.loads.into_iter().map(proto::Load::from).collect(),
+            version: heartbeat.version,
+            age_us: micros(heartbeat.age),
+            every_us: micros(heartbeat.interval),
+            loads: heartbeat.loads.into_iter().map(proto::Load::from).collect(),
         }
     }
 }
@@ -164,7 +164,7 @@
                 idempotency_key: idempotency_key.to_string(),
             }),
             Order::Cancel(attempt) => order::Body::Cancel(attempt.into()),
-            Order::Heartbeat(beat) => order::Body::Beat(beat.into()),
+            Order::Heartbeat(heartbeat) => order::Body::Beat(heartbeat.into()),
         };
         Self { body: Some(body) }
     }
@@ -197,7 +197,7 @@
                 idempotency_key: call.idempotency_key.into(),
             },
             order::Body::Cancel(attempt) => Self::Cancel(attempt.into()),
-            order::Body::Beat(beat) => Self::Heartbeat(beat.into()),
+            order::Body::Beat(heartbeat) => Self::Heartbeat(heartbeat.into()),
         })
     }
 }
@@ -237,7 +237,7 @@
                 status: status.into(),
                 body,
             }),
-            Event::Heartbeat(beat) => event::Body::Beat(beat.into()),
+            Event::Heartbeat(heartbeat) => event::Body::Beat(heartbeat.into()),
         };
         Self { body: Some(body) }
     }
@@ -278,7 +278,7 @@
                 status: status(answered.status)?,
                 body: answered.body,
             },
-            event::Body::Beat(beat) => Self::Heartbeat(beat.into()),
+            event::Body::Beat(heartbeat) => Self::Heartbeat(heartbeat.into()),
         })
     }
 }
@@ -294,7 +294,7 @@
                 refund: loan.refund,
                 serial: loan.serial,
             }),
-            PeerRequest::Heartbeat(beat) => Self::Beat(beat.into()),
+            PeerRequest::Heartbeat(heartbeat) => Self::Beat(heartbeat.into()),
             PeerRequest::CrashStatus { customer, fingerprint, crashed } => {
                 Self::Strike(proto::Strike { customer: customer.to_string(), fingerprint, crashed })
             }
@@ -319,7 +319,7 @@
                     serial: borrow.serial,
                 },
             },
-            peer_request::Body::Beat(beat) => Self::Heartbeat(beat.into()),
+            peer_request::Body::Beat(heartbeat) => Self::Heartbeat(heartbeat.into()),
             peer_request::Body::Strike(strike) => Self::CrashStatus {
                 customer: strike.customer.into(),
                 fingerprint: strike.fingerprint,
@@ -339,10 +339,10 @@
                 term_us: micros(grant.term),
                 retry_after_us: micros(grant.retry_after),
             }),
-            PeerReply::Heartbeat(beat) => peer_reply::Body::Beat(beat.into()),
-            PeerReply::CrashStatus(strike) => peer_reply::Body::Struck(proto::Struck {
-                crashes: strike.crashes,
-                quarantined_us: micros(strike.quarantined),
+            PeerReply::Heartbeat(heartbeat) => peer_reply::Body::Beat(heartbeat.into()),
+            PeerReply::CrashStatus(status) => peer_reply::Body::Struck(proto::Struck {
+                crashes: status.crashes,
+                quarantined_us: micros(status.quarantined),
             }),
             PeerReply::Acknowledged => peer_reply::Body::Noted(proto::Noted {}),
             PeerReply::Renewed { granted } => peer_reply::Body::Renewed(proto::Renewed { granted }),
@@ -364,7 +364,7 @@
                 term: Duration::from_micros(lent.term_us),
                 retry_after: Duration::from_micros(lent.retry_after_us),
             }),
-            peer_reply::Body::Beat(beat) => Self::Heartbeat(beat.into()),
+            peer_reply::Body::Beat(heartbeat) => Self::Heartbeat(heartbeat.into()),
             peer_reply::Body::Struck(struck) => {
                 Self::CrashStatus(tarragonhill_core::quarantine::CrashStatus {
                     crashes: struck.crashes,
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -43,7 +43,7 @@
     }
 }
 
-fn beat() -> Heartbeat {
+fn heartbeat() -> Heartbeat {
     let load = Load {
         endpoint: name("decode"),
         free_pieces: 1,
@@ -70,7 +70,7 @@
             idempotency_key: name("k"),
         },
         Order::Cancel(attempt()),
-        Order::Heartbeat(beat()),
+        Order::Heartbeat(heartbeat()),
     ] {
         assert_eq!(Order::try_from(proto::Order::from(order.clone())), Ok(order));
     }
@@ -87,7 +87,7 @@
         Event::Ended { attempt, total: 6 },
         Event::Failed { attempt, cause: FailureCause::Evicted },
         Event::Answered { attempt, status: 204, body: vec![1] },
-        Event::Heartbeat(beat()),
+        Event::Heartbeat(heartbeat()),
     ] {
         assert_eq!(Event::try_from(proto::Event::from(event.clone())), Ok(event));
     }
@@ -98,7 +98,7 @@
     let loan = Loan { tokens: 1, minimum: 2, unspent: 3, refund: 4, serial: 5 };
     for ask in [
         PeerRequest::Borrow { customer: name("faculty"), loan },
-        PeerRequest::Heartbeat(beat()),
+        PeerRequest::Heartbeat(heartbeat()),
         PeerRequest::CrashStatus { customer: name("faculty"), fingerprint: u64::MAX, crashed: true },
         PeerRequest::Renew { incarnation: 8 },
         PeerRequest::RefreshHomes,
@@ -107,7 +107,7 @@
     }
     for answer in [
         PeerReply::Lent(Grant { tokens: 1, term: SPAN, retry_after: SPAN }),
-        PeerReply::Heartbeat(beat()),
+        PeerReply::Heartbeat(heartbeat()),
         PeerReply::CrashStatus(CrashStatus { crashes: 2, quarantined: SPAN }),
         PeerReply::Renewed { granted: true },
         PeerReply::Acknowledged,
