--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -6,7 +6,7 @@
 use crate::{
     id::Attempt,
     quarantine::CrashStatus,
-    quota::{Grant, Loan},
+    quota::{Grant, LoanRequest},
     refusal::Code,
 };
 
@@ -231,7 +231,7 @@
         /// Customer that owns the tokens.
         customer: Arc<str>,
         /// Tokens to borrow or return.
-        loan: Loan,
+        loan: LoanRequest,
     },
     /// Heartbeat of the requesting entry.
     Heartbeat(Heartbeat),
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -16,7 +16,7 @@
 };
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
-use crate::{clock::Time, id::Attempt, message::Load, settings::Named};
+use crate::{clock::Time, id::Attempt, message::Load, settings::NamedEndpoint};
 
 /// Placement policy. All policies but `current` serve as baselines for benchmarks.
 #[derive(
@@ -100,7 +100,7 @@
     /// Availability zone of the entry, preferred between endpoints of equal score.
     pub zone: &'a str,
     /// Endpoints that serve the requested model or service, sorted by name.
-    pub candidates: &'a [Named],
+    pub candidates: &'a [NamedEndpoint],
     /// Resources that the work needs.
     pub need: Need,
     /// Attempt that the work belongs to.
@@ -155,8 +155,9 @@
     /// Endpoints that the request has tried or that recently refused work are used only if no other
     /// endpoint is available.
     pub fn place<R: Rng>(&mut self, now: Time, rng: &mut R, search: &Search<'_>) -> Option<Arc<str>> {
-        let preferred = |named: &&Named| self.is_up(named) && self.is_preferred(now, &named.0, search.tried);
-        let up = |named: &&Named| self.is_up(named);
+        let preferred =
+            |named: &&NamedEndpoint| self.is_up(named) && self.is_preferred(now, &named.0, search.tried);
+        let up = |named: &&NamedEndpoint| self.is_up(named);
         let choice =
             self.choose(now, rng, search, preferred).or_else(|| self.choose(now, rng, search, up))?;
         self.record_sent(now, &choice, search.need, search.attempt);
@@ -168,7 +169,7 @@
         now: Time,
         rng: &mut R,
         search: &Search<'_>,
-        usable: impl Fn(&&Named) -> bool,
+        usable: impl Fn(&&NamedEndpoint) -> bool,
     ) -> Option<Arc<str>> {
         let Search { candidates, need, .. } = *search;
         let choice = match search.policy {
@@ -178,14 +179,14 @@
             }
             Policy::HoldFirst | Policy::Current => {
                 let cached = self.cached_endpoint(need);
-                let score = |named: &&Named| self.score(now, named, search, cached.as_ref());
+                let score = |named: &&NamedEndpoint| self.score(now, named, search, cached.as_ref());
                 sample(rng, candidates, cached.as_ref(), usable).into_iter().min_by_key(score)
             }
         };
         choice.map(|(name, _)| name.clone())
     }
 
-    fn is_up(&self, (name, endpoint): &Named) -> bool {
+    fn is_up(&self, (name, endpoint): &NamedEndpoint) -> bool {
         let Some(state) = self.endpoints.get(name) else { return !endpoint.leaving };
         let leaving = state.load.as_ref().is_some_and(|(load, _)| load.leaving);
         !endpoint.leaving && !leaving && !state.is_down
@@ -208,7 +209,7 @@
     }
 
     /// Returns the score of an endpoint; lower is better.
-    fn score(&self, now: Time, named: &Named, search: &Search<'_>, cached: Option<&Arc<str>>) -> u64 {
+    fn score(&self, now: Time, named: &NamedEndpoint, search: &Search<'_>, cached: Option<&Arc<str>>) -> u64 {
         let (name, endpoint) = named;
         let need = search.need;
         let state = self.endpoints.get(name);
@@ -279,16 +280,16 @@
 /// filters, so that the cost is independent of the number of endpoints unless most are unusable.
 fn sample<'a, R: Rng>(
     rng: &mut R,
-    candidates: &'a [Named],
+    candidates: &'a [NamedEndpoint],
     cached: Option<&Arc<str>>,
-    usable: impl Fn(&&'a Named) -> bool,
-) -> Vec<&'a Named> {
+    usable: impl Fn(&&'a NamedEndpoint) -> bool,
+) -> Vec<&'a NamedEndpoint> {
     let matching = cached.and_then(|cached| {
         let at = candidates.binary_search_by(|(name, _)| name.cmp(cached)).ok()?;
         candidates.get(at).filter(&usable)
     });
     let drawn = index::sample(rng, candidates.len(), MAX_DRAWN.min(candidates.len()));
-    let mut sampled: Vec<&Named> =
+    let mut sampled: Vec<&NamedEndpoint> =
         drawn.iter().map(|at| &candidates[at]).filter(&usable).take(MAX_CANDIDATES).collect();
     if sampled.is_empty() {
         sampled = candidates.iter().filter(usable).choose_multiple(rng, MAX_CANDIDATES);
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -59,7 +59,7 @@
     /// Takes a peer's heartbeat, and asks the table if the peer has newer settings.
     pub(crate) fn heard(&self, peer: &Arc<str>, heartbeat: &Heartbeat) {
         let now = self.clock.now();
-        self.freshness(|freshness| freshness.heard(now, peer, heartbeat));
+        self.freshness(|freshness| freshness.record_heartbeat(now, peer, heartbeat));
         if heartbeat.version > self.get().version {
             self.nudge();
         }
@@ -126,7 +126,7 @@
             inner.snapshot = next.clone();
         }
         let version = inner.snapshot.version;
-        inner.freshness.confirmed(began, version);
+        inner.freshness.record_read(began, version);
     }
 }
 
