--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -249,8 +249,8 @@
         /// Incarnation of the sending entry.
         incarnation: u64,
     },
-    /// Asks the receiver to read the home rows now, because a home was offered to it.
-    RefreshHomes,
+    /// Asks the receiver to read the shard rows now, because a shard was offered to it.
+    RefreshShards,
 }
 
 /// Reply to a [`PeerRequest`].
@@ -271,7 +271,7 @@
     Acknowledged,
     /// The receiver is not the customer's home.
     NotHome {
-        /// Last known owner of the home; empty if unknown.
+        /// Last known owner of the customer's shard; empty if unknown.
         owner: Arc<str>,
         /// Epoch of that ownership.
         epoch: u64,
--- a/crates/daemon/src/entry/homes.rs
+++ b/crates/daemon/src/entry/homes.rs
@@ -105,7 +105,7 @@
         for address in context.control.addresses(recipients).await.into_values() {
             let context = context.clone();
             task::spawn(async move {
-                context.peers.ask(&address, &context.name, PeerRequest::RefreshHomes).await
+                context.peers.ask(&address, &context.name, PeerRequest::RefreshShards).await
             });
         }
     }
--- a/crates/daemon/src/entry/owner.rs
+++ b/crates/daemon/src/entry/owner.rs
@@ -395,7 +395,7 @@
             PeerRequest::CrashStatus { customer, fingerprint, crashed } => {
                 PeerReply::CrashStatus(self.crash_status(now, &customer, fingerprint, crashed))
             }
-            PeerRequest::RefreshHomes => {
+            PeerRequest::RefreshShards => {
                 self.look();
                 PeerReply::Acknowledged
             }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -299,7 +299,7 @@
                 Self::Strike(proto::Strike { customer: customer.to_string(), fingerprint, crashed })
             }
             PeerRequest::Renew { incarnation } => Self::Renew(proto::Renew { incarnation }),
-            PeerRequest::RefreshHomes => Self::Look(proto::Look {}),
+            PeerRequest::RefreshShards => Self::Look(proto::Look {}),
         }
     }
 }
@@ -326,7 +326,7 @@
                 crashed: strike.crashed,
             },
             peer_request::Body::Renew(renew) => Self::Renew { incarnation: renew.incarnation },
-            peer_request::Body::Look(proto::Look {}) => Self::RefreshHomes,
+            peer_request::Body::Look(proto::Look {}) => Self::RefreshShards,
         })
     }
 }
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -101,7 +101,7 @@
         PeerRequest::Heartbeat(heartbeat()),
         PeerRequest::CrashStatus { customer: name("faculty"), fingerprint: u64::MAX, crashed: true },
         PeerRequest::Renew { incarnation: 8 },
-        PeerRequest::RefreshHomes,
+        PeerRequest::RefreshShards,
     ] {
         assert_eq!(PeerRequest::try_from(proto::peer_request::Body::from(ask.clone())), Ok(ask));
     }
