--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -280,7 +280,7 @@
             (0..n).map(|number| (name("endpoint", number), Arc::new(endpoint(number)))).collect();
         let mut view = View::default();
         for (name, _) in &endpoints {
-            view.report(Time::ZERO, load(name));
+            view.record_load(Time::ZERO, load(name));
         }
         let mut rng = ChaCha8Rng::seed_from_u64(1);
         let began = Instant::now();
@@ -297,7 +297,7 @@
             };
             let chosen = view.place(now, &mut rng, &search);
             if let Some(chosen) = chosen {
-                view.done(&chosen, attempt);
+                view.remove_sent(&chosen, attempt);
             }
         }
         let cpu_us_per_s = began.elapsed().as_secs_f64() * 1e6;
@@ -334,10 +334,10 @@
                 prompt_tokens: 4_000,
                 max_tokens: 200,
                 slack: Duration::from_secs(3_600),
-                patience: Duration::from_secs(3_600),
+                timeout: Duration::from_secs(3_600),
                 suspect: false,
             };
-            let order = Order::Prefill { work, prompt: "".into(), wait: Duration::ZERO };
+            let order = Order::Prefill { work, prompt: "".into(), delay: Duration::ZERO };
             state.step(Time::ZERO, Input::Order(1, order)).len()
         };
         (0..n).for_each(|number| {
--- a/crates/core/src/gateway/pools.rs
+++ b/crates/core/src/gateway/pools.rs
@@ -14,7 +14,7 @@
     forecast::{Forecast, Size, mean_memory},
     load::Loads,
 };
-use crate::clock::{Time, fading};
+use crate::clock::{Time, decay_factor};
 
 /// Number of recent requests needed to compute a split.
 const MIN_REQUESTS: f64 = 15.0;
@@ -64,7 +64,7 @@
 
 impl Demand {
     fn decay(&mut self, now: Time) {
-        let factor = fading(now.since(self.at), HALF_LIFE);
+        let factor = decay_factor(now.since(self.at), HALF_LIFE);
         self.requests *= factor;
         self.prompt *= factor;
         self.endpoints *= factor;
--- a/crates/daemon/src/agent/metrics.rs
+++ b/crates/daemon/src/agent/metrics.rs
@@ -52,9 +52,9 @@
             }
             Event::Prefilled { .. } => "prefilled",
             Event::Ended { .. } => "ended",
-            Event::Broken { .. } => "broken",
+            Event::Failed { .. } => "broken",
             Event::Answered { .. } => "answered",
-            Event::Tokens { .. } | Event::Beat(_) => return,
+            Event::Tokens { .. } | Event::Heartbeat(_) => return,
         };
         self.events.with_label_values(&[name]).inc();
     }
--- a/crates/daemon/src/entry/links.rs
+++ b/crates/daemon/src/entry/links.rs
@@ -12,7 +12,7 @@
 use futures_lite::{FutureExt as _, StreamExt as _};
 use tarragonhill_core::{
     Attempt,
-    message::{Beat, Breakage, Event, Order},
+    message::{Event, FailureCause, Heartbeat, Order},
     settings::Snapshot,
 };
 use tarragonhill_wire::proto::{self, agent_client::AgentClient};
@@ -159,11 +159,11 @@
         let outbound = receiver.map(proto::Order::from);
         let events = AgentClient::new(channel).link(outbound).await?.into_inner();
         self.up(agent, orders.clone());
-        let beats = async {
-            self.beat(&orders).await;
+        let heartbeats = async {
+            self.heartbeat(&orders).await;
             Ok(())
         };
-        self.read(agent, events).or(beats).await
+        self.read(agent, events).or(heartbeats).await
     }
 
     /// Reads events until the link ends or falls silent for good, which only the missing
@@ -179,8 +179,8 @@
             let next = async_std::future::timeout(silence, events.next()).await;
             let Some(event) = next.map_err(invalid)? else { return Ok(()) };
             match Event::try_from(event?) {
-                Ok(Event::Beat(beat)) => {
-                    self.heard(agent, beat);
+                Ok(Event::Heartbeat(heartbeat)) => {
+                    self.heard(agent, heartbeat);
                     silence = self.silence();
                 }
                 Ok(event) => self.deliver(event),
@@ -189,9 +189,9 @@
         }
     }
 
-    fn heard(&self, agent: &Arc<str>, beat: Beat) {
-        self.0.current.heard(&format!("agent {agent}").into(), &beat);
-        self.0.control.loads(beat.loads);
+    fn heard(&self, agent: &Arc<str>, heartbeat: Heartbeat) {
+        self.0.current.heard(&format!("agent {agent}").into(), &heartbeat);
+        self.0.control.loads(heartbeat.loads);
     }
 
     /// One slow caller must not hold up the link that all share: an inbox that is full is closed,
@@ -205,14 +205,14 @@
         }
     }
 
-    async fn beat(&self, orders: &Sender<Order>) {
+    async fn heartbeat(&self, orders: &Sender<Order>) {
         loop {
-            let every = self.every();
-            let beat = Beat { every, ..self.0.current.beat() };
-            if orders.send(Order::Beat(beat)).await.is_err() {
+            let interval = self.every();
+            let heartbeat = Heartbeat { interval, ..self.0.current.heartbeat() };
+            if orders.send(Order::Heartbeat(heartbeat)).await.is_err() {
                 return;
             }
-            task::sleep(every).await;
+            task::sleep(interval).await;
         }
     }
 
@@ -242,7 +242,7 @@
         }
         let lost: Vec<_> = state.routes.iter().filter(|(_, route)| route.agents.contains(agent)).collect();
         for (attempt, route) in lost {
-            let _ = route.inbox.try_send(Event::Broken { attempt: *attempt, cause: Breakage::LinkLost });
+            let _ = route.inbox.try_send(Event::Failed { attempt: *attempt, cause: FailureCause::LinkLost });
         }
         drop(state);
         self.0.control.link(self.fronted(agent), false);
