--- /dev/null
+++ b/crates/core/src/gateway/queue.rs
@@ -0,0 +1,121 @@
+//! Queue of requests waiting for memory at a decode endpoint.
+//!
+//! Orders queued requests by deadline. Requests that can still meet their time-to-first-token
+//! target come before those that cannot; serving by arrival would make every request late once the
+//! queue is longer than the target. A request that does not fit blocks later ones of its service,
+//! so that large requests don't starve.
+
+use std::{sync::Arc, time::Duration};
+
+use super::forecast::Size;
+use crate::clock::Time;
+
+/// A queued request.
+#[derive(Clone, Debug)]
+pub struct Entry<T> {
+    /// Handle by which the caller is answered.
+    pub tag: T,
+    /// Service that the request is for.
+    pub service: Arc<str>,
+    /// Prompt and output size.
+    pub size: Size,
+    /// Mean KV cache use, in tokens.
+    pub memory: u64,
+    /// Latest start that still meets the time-to-first-token target.
+    pub soft_deadline: Time,
+    /// Latest start at which the request can finish before its caller disconnects.
+    pub hard_deadline: Time,
+    /// Priority; 0 is the most urgent.
+    pub priority: u8,
+    /// Target for the longest pause between events; zero if none is declared.
+    pub gap: Duration,
+    /// Target for the time to the first event.
+    pub ttft_target: Duration,
+    /// Endpoints that failed the request before.
+    pub avoid: Vec<Arc<str>>,
+}
+
+impl<T> Entry<T> {
+    /// Returns whether the request can no longer meet its time-to-first-token target.
+    pub fn is_late(&self, now: Time) -> bool {
+        self.soft_deadline < now
+    }
+
+    fn rank(&self, now: Time) -> (bool, u8, Time) {
+        (self.is_late(now), self.priority, self.soft_deadline)
+    }
+}
+
+/// Result of dispatching a request.
+#[derive(Clone, Debug)]
+pub enum Verdict<P> {
+    /// The request was placed.
+    Placed(P),
+    /// The request can no longer finish in time.
+    Expired,
+}
+
+/// Queue of the requests of all services.
+#[derive(Clone, Debug)]
+pub struct Queue<T>(Vec<Entry<T>>);
+
+impl<T> Default for Queue<T> {
+    fn default() -> Self {
+        Self(Vec::new())
+    }
+}
+
+impl<T> Queue<T> {
+    /// Adds a request.
+    pub fn push(&mut self, entry: Entry<T>) {
+        self.0.push(entry);
+    }
+
+    /// Returns the number of queued requests.
+    pub fn len(&self) -> usize {
+        self.0.len()
+    }
+
+    /// Returns whether the queue is empty.
+    pub fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    /// Removes the requests for whose tags `keep` returns false, such as those of disconnected
+    /// callers.
+    pub fn retain(&mut self, keep: impl Fn(&T) -> bool) {
+        self.0.retain(|entry| keep(&entry.tag));
+    }
+
+    /// Removes expired requests and those that `place` finds an endpoint for, in order. Once a
+    /// request does not fit, all later ones of its service stay queued.
+    pub fn dispatch<P>(
+        &mut self,
+        now: Time,
+        mut place: impl FnMut(&Entry<T>) -> Option<P>,
+    ) -> Vec<(Entry<T>, Verdict<P>)> {
+        self.0.sort_by_key(|entry| entry.rank(now));
+        let mut verdicts = Vec::new();
+        let mut blocked: Vec<Arc<str>> = Vec::new();
+        let mut remaining = Vec::new();
+        for entry in std::mem::take(&mut self.0) {
+            if entry.hard_deadline < now {
+                verdicts.push((entry, Verdict::Expired));
+                continue;
+            }
+            if blocked.contains(&entry.service) {
+                remaining.push(entry);
+                continue;
+            }
+            match place(&entry) {
+                Some(placement) => verdicts.push((entry, Verdict::Placed(placement))),
+                None => {
+                    blocked.push(entry.service.clone());
+                    remaining.push(entry);
+                }
+            }
+        }
+        self.0 = remaining;
+        verdicts
+    }
+}
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -8,16 +8,16 @@
     allowance::{Allowance, Totals},
     budget::{Budget, Rule},
     catalog::{Catalog, Customer, Engine},
-    completion::{Completion, Prompt, declared},
+    completion::{Completion, Prompt, target_or_default},
     digest::{Digest, Member, Peers, Share},
     directory::{Change, Directory, Endpoint, Row, Stage},
     forecast::{Forecast, Forecasts, Observation},
     growth::Growth,
     health::Outcome,
-    line::{Line, Verdict, Waiting},
-    load::{Lease, Length, Loads},
-    placement::{Pairing, Reader, Run, Turn, View, spare},
-    pools::{Known, Order, Pools},
+    load::{Estimate, Lease, Loads},
+    placement::{Partition, Placement, Prefill, Run, View, headroom},
+    pools::{Order, Pools, ServiceInfo},
+    queue::{Entry, Queue, Verdict},
     staleness::{Staleness, Versions},
     suspect::Suspects,
 };
@@ -98,7 +98,7 @@
 }
 
 /// Whom to answer, and how.
-pub type Placed<T> = (Waiting<T>, Verdict<Pair>);
+pub type Placed<T> = (Entry<T>, Verdict<Pair>);
 
 /// The state of one entry.
 #[derive(Debug)]
@@ -112,7 +112,7 @@
     allowance: Allowance,
     budget: Budget,
     peers: Peers,
-    line: Line<T>,
+    line: Queue<T>,
     suspects: Suspects,
     pools: Pools,
     forecasts: Forecasts,
@@ -131,7 +131,7 @@
             loads: Loads::default(),
             allowance: Allowance::new(now),
             budget: Budget::new(retries, now),
-            line: Line::default(),
+            line: Queue::default(),
             suspects: Suspects::default(),
             pools: Pools::default(),
             forecasts: Forecasts::default(),
@@ -181,14 +181,14 @@
             match change {
                 Change::Restarted(endpoint) => {
                     self.suspects.crashed(now, &endpoint.id);
-                    self.pools.dropped(&endpoint.id);
+                    self.pools.cancel(&endpoint.id);
                 }
                 Change::Gone(endpoint) => {
                     self.suspects.crashed(now, &endpoint.id);
                     self.loads.forget(&endpoint.id);
                     self.forecasts.forget(&endpoint.service, &endpoint.id);
                 }
-                Change::Seen(endpoint) => self.pools.seen(endpoint),
+                Change::Seen(endpoint) => self.pools.confirm(endpoint),
                 Change::Leaving(_) | Change::Lapsed(_) => {}
             }
         }
@@ -211,11 +211,11 @@
         }
         self.staleness.heard(now, digest.versions);
         self.allowance.heard(now, digest);
-        self.loads.heard(now, digest);
+        self.loads.merge_digest(now, digest);
         self.suspects.heard(digest);
-        self.forecasts.heard(&digest.name, &digest.forecasts);
+        self.forecasts.merge_peer(&digest.name, &digest.forecasts);
         for (endpoint, change) in &digest.changing {
-            self.pools.heard(now, endpoint, *change);
+            self.pools.merge_change(now, endpoint, *change);
         }
     }
 
@@ -237,13 +237,13 @@
             members,
             spent,
             left,
-            shares: self.loads.own(),
-            failing: self.loads.own_failing(now),
+            shares: self.loads.local(),
+            failing: self.loads.local_failure_ratios(now),
             changing: self.pools.changes(now),
             suspects: self.suspects.told(now),
             versions: self.staleness.own(),
             forecasts: if self.serial.is_multiple_of(FORECASTS_EVERY) {
-                self.forecasts.own()
+                self.forecasts.local()
             } else {
                 BTreeMap::new()
             },
@@ -260,7 +260,7 @@
             self.forecasts.forget_peer(peer);
         }
         self.allowance.settle(now, &self.peers);
-        self.forecasts.settle();
+        self.forecasts.recompute();
         let changes = self.directory.settle(now);
         self.follow(now, &changes);
         (changes, gone)
@@ -280,7 +280,7 @@
             let message = format!("{name} has {left} tokens left, asked {asked}; rate {rate}, burst {burst}");
             return Err(Refusal::not_run(Code::OverRate, message).retry_after(wait));
         }
-        self.budget.request(now, &admission.service);
+        self.budget.record_request(now, &admission.service);
         Ok(())
     }
 
@@ -293,13 +293,13 @@
 
     /// Whether a request may be sent to a further endpoint; pays for it if so.
     pub fn retry(&mut self, now: Time, service: &Arc<str>) -> bool {
-        self.budget.extra(now, service, self.peers.count())
+        self.budget.try_spend(now, service, self.peers.count())
     }
 
     /// What a service's requests are split into, at this moment.
     pub fn is_split(&self, now: Time, service: &str) -> bool {
         let view = self.view(now);
-        view.has(service, Stage::Decode) || view.has(service, Stage::Prefill)
+        view.has_stage(service, Stage::Decode) || view.has_stage(service, Stage::Prefill)
     }
 
     /// An endpoint for a whole request.
@@ -311,12 +311,13 @@
 
     /// A further endpoint that reads a prompt; none if none can.
     pub fn prefill(&mut self, now: Time, prompt: &Prompt) -> Option<Place> {
-        let Prompt { service, tokens, aim, zone, avoid } = prompt;
-        let aim = declared(*aim);
-        let Reader::Endpoint(endpoint) = self.view(now).prefill(service, *tokens, aim, zone, avoid) else {
+        let Prompt { service, tokens, ttft_target, zone, avoid } = prompt;
+        let ttft_target = target_or_default(*ttft_target);
+        let Prefill::Endpoint(endpoint) = self.view(now).prefill(service, *tokens, ttft_target, zone, avoid)
+        else {
             return None;
         };
-        Some(self.take_reader(now, endpoint, *tokens, aim))
+        Some(self.take_reader(now, endpoint, *tokens, ttft_target))
     }
 
     /// Lines a completion up for a decode endpoint; whoever is placed then comes out of [`Self::pump`].
@@ -324,9 +325,9 @@
         let forecast = self.forecasts.service(&completion.service);
         let engine = self.engine(&completion.service);
         if let Some(engine) = &engine {
-            self.pools.note(now, &completion.service, engine, completion.size);
+            self.pools.record_request(now, &completion.service, engine, completion.size);
         }
-        let mut waiting = completion.queued(&forecast, tag);
+        let mut waiting = completion.into_entry(&forecast, tag);
         // What is larger than an endpoint's memory runs alone, as far as its answer fits.
         waiting.memory = waiting.memory.min(engine.map_or(u64::MAX, |engine| engine.memory));
         self.line.push(waiting);
@@ -341,14 +342,14 @@
         if self.directory.get(&endpoint.id).is_none() {
             return;
         }
-        let memory = self.loads.get(&endpoint.id).map_or(0, |load| load.all(now).memory);
-        self.forecasts.note(now, &endpoint.service, &endpoint.id, memory, observation);
+        let memory = self.loads.get(&endpoint.id).map_or(0, |load| load.total(now).memory);
+        self.forecasts.record(now, &endpoint.service, &endpoint.id, memory, observation);
     }
 
     /// Takes events that a run has made.
     pub fn made(&mut self, lease: &Lease, service: &str, events: u64) {
-        let event_tokens = self.forecasts.service(service).lengths().event_tokens;
-        self.loads.made(lease, (events as f64 * event_tokens) as u64);
+        let event_tokens = self.forecasts.service(service).output_length_or_default().event_tokens;
+        self.loads.record_tokens(lease, (events as f64 * event_tokens) as u64);
     }
 
     /// What is known of a service's endpoints together.
@@ -363,7 +364,7 @@
 
     /// When a caller should come back that waited in vain for memory of a service.
     pub fn memory_free_after(&self, service: &str) -> Duration {
-        let half = self.forecasts.service(service).half_run();
+        let half = self.forecasts.service(service).half_decode_time();
         half.map_or(COME_BACK, |half| half.clamp(SOONEST_BACK, LATEST_BACK))
     }
 
@@ -375,14 +376,14 @@
         catalog.services().find_map(|service| {
             let forecast = forecasts.service(&service.name);
             let engine = service.engine.as_ref()?;
-            let known = Known { name: &service.name, engine, forecast: &forecast };
-            pools.next(now, &known, directory, loads, rank)
+            let info = ServiceInfo { name: &service.name, engine, forecast: &forecast };
+            pools.next_order(now, &info, directory, loads, rank)
         })
     }
 
     /// An order was not carried out.
     pub fn order_dropped(&mut self, endpoint: &str) {
-        self.pools.dropped(endpoint);
+        self.pools.cancel(endpoint);
     }
 
     /// Places those in the line whom there is room for.
@@ -391,29 +392,29 @@
             return Vec::new();
         }
         let mut line = std::mem::take(&mut self.line);
-        let placed = line.pump(now, |waiting| self.place(now, waiting));
+        let placed = line.dispatch(now, |waiting| self.place(now, waiting));
         self.line = line;
         placed
     }
 
     /// Takes the places of a completion; none if it has to wait.
-    fn place(&mut self, now: Time, waiting: &Waiting<T>) -> Option<Pair> {
-        let Waiting { service, size, memory, gap, aim, avoid, .. } = waiting;
+    fn place(&mut self, now: Time, waiting: &Entry<T>) -> Option<Pair> {
+        let Entry { service, size, memory, gap, ttft_target, avoid, .. } = waiting;
         let engine = self.engine(service)?;
-        let spread = self.forecasts.service(service).lengths().spread;
+        let spread = self.forecasts.service(service).output_length_or_default().spread;
         let run = Run {
             prompt: size.prompt,
-            growth: Growth::of(*size, 0, spread),
-            spare: spare(&engine, waiting.is_late(now)),
+            growth: Growth::for_run(*size, 0, spread),
+            headroom: headroom(&engine, waiting.is_late(now)),
             gap: *gap,
-            aim: *aim,
+            ttft_target: *ttft_target,
             avoid,
         };
-        let Pairing { endpoint, reader } = self.view(now).pair(service, &engine, &run)?;
-        let reading = if reader.is_some() { 0 } else { size.prompt };
+        let Placement { endpoint, prefill } = self.view(now).pair(service, &engine, &run)?;
+        let reading = if prefill.is_some() { 0 } else { size.prompt };
         let share = Share { running: 1, memory: *memory, reading, ..Share::default() };
-        let run = self.take(now, endpoint, share, Some(Length { size: *size, spread }));
-        let reader = reader.map(|reader| self.take_reader(now, reader, size.prompt, *aim));
+        let run = self.take(now, endpoint, share, Some(Estimate { size: *size, spread }));
+        let reader = prefill.map(|prefill| self.take_reader(now, prefill, size.prompt, *ttft_target));
         Some(Pair { run, reader })
     }
 
@@ -437,13 +438,13 @@
     pub fn answered(&mut self, now: Time, lease: &Lease) {
         let endpoint = self.directory.get(&lease.endpoint);
         let forecast = endpoint.map(|endpoint| self.forecasts.endpoint(now, &endpoint.service, &endpoint.id));
-        let rest = forecast.unwrap_or_default().event_gap() * REST_EVENTS;
-        self.loads.answered(now, lease, rest);
+        let rest = forecast.unwrap_or_default().typical_event_interval() * REST_EVENTS;
+        self.loads.record_first_event(now, lease, rest);
     }
 
     /// A request has ended at its endpoint.
     pub fn ended(&mut self, now: Time, lease: &Lease, outcome: Outcome) {
-        self.loads.give_back(now, lease, outcome);
+        self.loads.release(now, lease, outcome);
         if outcome == Outcome::Unreachable {
             self.suspects.crashed(now, &lease.endpoint);
         }
@@ -525,25 +526,31 @@
             pools: &self.pools,
             forecasts: &self.forecasts,
             zone: &self.identity.zone,
-            entry: &self.identity.name,
-            turn: self.turn(),
+            replica: &self.identity.name,
+            partition: self.partition(),
         }
     }
 
-    fn turn(&self) -> Turn {
-        Turn { rank: self.peers.position(), count: self.peers.count() }
+    fn partition(&self) -> Partition {
+        Partition { index: self.peers.position(), count: self.peers.count() }
     }
 
-    fn take(&mut self, now: Time, endpoint: Arc<Endpoint>, share: Share, answer: Option<Length>) -> Place {
-        let lease = self.loads.take_run(now, &endpoint.id, share, answer);
+    fn take(&mut self, now: Time, endpoint: Arc<Endpoint>, share: Share, answer: Option<Estimate>) -> Place {
+        let lease = self.loads.acquire_run(now, &endpoint.id, share, answer);
         Place { endpoint, lease, tokens: 0, limit: Duration::ZERO }
     }
 
-    fn take_reader(&mut self, now: Time, endpoint: Arc<Endpoint>, prompt: u64, aim: Duration) -> Place {
-        let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.all(now).reading);
+    fn take_reader(
+        &mut self,
+        now: Time,
+        endpoint: Arc<Endpoint>,
+        prompt: u64,
+        ttft_target: Duration,
+    ) -> Place {
+        let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.total(now).reading);
         let forecast = self.forecasts.endpoint(now, &endpoint.service, &endpoint.id);
         let tokens = ahead + prompt;
-        let limit = forecast.reading_limit(tokens, aim);
+        let limit = forecast.prefill_timeout(tokens, ttft_target);
         let share = Share { reading: prompt, ..Share::default() };
         Place { tokens, limit, ..self.take(now, endpoint, share, None) }
     }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -114,7 +114,7 @@
     /// Returns the size of a completion; zero for other requests.
     pub(crate) fn size(&self) -> Size {
         let tokens = self.metadata.tokens.unwrap_or_default();
-        Size { prompt: tokens.prompt, expected: tokens.expected_output(), most: tokens.output }
+        Size { prompt: tokens.prompt, expected_output: tokens.expected_output(), max_output: tokens.output }
     }
 
     pub(crate) fn priority(&self) -> u8 {
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -86,7 +86,7 @@
     pub fn record_response(&mut self) {
         self.outcome = Outcome::Abandoned;
         self.control.send(Command::RecordResponse(self.lease.clone()));
-        self.lease.read();
+        self.lease.clear_prefill();
     }
 
     /// Returns the memory reserved for the request, tokens.
@@ -101,7 +101,7 @@
 
     /// Records events that the endpoint generated within `span`.
     pub fn record_events(&self, events: u64, span: Duration) {
-        self.observe(Observation::Paced { events, span });
+        self.observe(Observation::Events { events, span });
         self.control.send(Command::RecordEvents(self.lease.clone(), self.endpoint.service.clone(), events));
     }
 
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -7,7 +7,7 @@
 
 use async_channel::Receiver;
 use tarragonhill_core::gateway::{
-    lease::{TERM, may_claim},
+    lease::{LEASE_DURATION, claimable_version},
     pools::Order,
 };
 
@@ -68,7 +68,7 @@
         Err(reason) => return Delivery::Dropped(reason),
     };
     // If this process was suspended after writing the claim, another gateway may hold it by now.
-    if began.elapsed() >= TERM {
+    if began.elapsed() >= LEASE_DURATION {
         return Delivery::Dropped("the claim has expired".into());
     }
     let change =
@@ -83,9 +83,9 @@
 
 /// Writes the claim and returns the fencing token.
 async fn claim(holder: &str, claims: &mut dyn Claims) -> Result<u64, String> {
-    let reading = claims.read().await?;
-    let version = may_claim(&reading, holder).ok_or("another gateway holds the claim")?;
-    let written = claims.write(holder, reading.now_ms, version).await?;
+    let snapshot = claims.read().await?;
+    let version = claimable_version(&snapshot, holder).ok_or("another gateway holds the claim")?;
+    let written = claims.write(holder, snapshot.now_ms, version).await?;
     written.ok_or_else(|| "another gateway wrote the claim first".into())
 }
 
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -81,8 +81,8 @@
     /// Returns the observation for a first event that came after `took`.
     fn observation(self, prompt: u64, took: Duration) -> Option<Observation> {
         match self {
-            Self::FromPrefill => Some(Observation::Started { prompt, took }),
-            Self::WithPrefill => Some(Observation::ReadAndStarted { prompt, took }),
+            Self::FromPrefill => Some(Observation::FirstEvent { prompt, took }),
+            Self::WithPrefill => Some(Observation::LocalPrefill { prompt, took }),
             Self::Other => None,
         }
     }
@@ -164,7 +164,8 @@
     let Some(shutdown) = context.shutdown.get() else { return Ok(()) };
     let forecast = context.control.forecast(inbound.service()).await;
     let now = context.clock.now();
-    if forecast.ends_within(shutdown.deadline.since(now), inbound.size(), now < shutdown.drain_delay_ends) {
+    if forecast.finishes_within(shutdown.deadline.since(now), inbound.size(), now < shutdown.drain_delay_ends)
+    {
         return Ok(());
     }
     Err(Refusal::not_run(Code::ShuttingDown, "the process stops before the stream would end")
--- a/crates/gateway/src/stream/prefill.rs
+++ b/crates/gateway/src/stream/prefill.rs
@@ -48,7 +48,7 @@
         let prompt = Prompt {
             service: inbound.service().clone(),
             tokens: inbound.size().prompt,
-            aim: inbound.route.aim,
+            ttft_target: inbound.route.aim,
             zone: zone.clone(),
             avoid: avoid.clone(),
         };
@@ -76,7 +76,7 @@
             let result = context.dialect.decode_prefill(&body);
             if result.is_some() {
                 let took = context.clock.now().since(began);
-                permit.observe(Observation::Read { tokens: permit.tokens, took });
+                permit.observe(Observation::Prefill { tokens: permit.tokens, took });
                 permit.record_response();
             }
             result.ok_or(Failure::InvalidResponse("the name of the prefill result is missing"))
@@ -94,7 +94,7 @@
             let is_unsent = matches!(failure, Failure::Connect(_));
             if matches!(failure, Failure::Timeout) {
                 let waited = context.clock.now().since(began);
-                permit.observe(Observation::Unread { tokens: permit.tokens, waited });
+                permit.observe(Observation::PrefillTimeout { tokens: permit.tokens, waited });
             }
             if !is_unsent {
                 context.control.record_failure(&endpoint.id, inbound.admission.fingerprint);
--- a/crates/gateway/src/stream/relay.rs
+++ b/crates/gateway/src/stream/relay.rs
@@ -92,7 +92,10 @@
             exchange.recycle();
             let size = inbound.size();
             pending.flush(context.clock.now(), &permit);
-            permit.observe(Observation::Ended { expected: size.expected, events: writer.timing.events });
+            permit.observe(Observation::Completed {
+                expected: size.expected_output,
+                events: writer.timing.events,
+            });
             return Ok(());
         };
         buffer.extend_from_slice(&chunk);
