--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -39,7 +39,6 @@
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 /// Capacity of the digest channel. Small, because each digest supersedes the one before.
 const DIGEST_CAPACITY: usize = 2;
-
 /// Capacity of the order channel.
 const ORDER_CAPACITY: usize = 4;
 
--- a/crates/gateway/src/stream/prefill.rs
+++ b/crates/gateway/src/stream/prefill.rs
@@ -19,6 +19,7 @@
 
 /// Maximum endpoints that are asked to prefill one prompt.
 const MAX_ATTEMPTS: u32 = 3;
+
 /// Prefills the prompt. If an endpoint fails, another one is asked.
 pub(super) async fn run_prefill(
     context: &Arc<Context>,
