--- a/crates/core/src/gateway/health.rs
+++ b/crates/core/src/gateway/health.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use crate::clock::{Time, fading};
+use crate::clock::{Time, decay_factor};
 
 /// Ejection time after the first failure to connect; doubles with each consecutive failure.
 const MIN_EJECTION: Duration = Duration::from_millis(250);
@@ -111,7 +111,7 @@
 
     /// Returns the moving failure ratio, from 0 to 1; decays without outcomes.
     pub fn failure_ratio(&self, now: Time) -> f64 {
-        self.failure_ratio * fading(now.since(self.updated), FAILURE_HALF_LIFE)
+        self.failure_ratio * decay_factor(now.since(self.updated), FAILURE_HALF_LIFE)
     }
 
     /// Whether the endpoint should get no requests for now.
--- a/crates/core/src/gateway/rate_limit.rs
+++ b/crates/core/src/gateway/rate_limit.rs
@@ -16,7 +16,7 @@
     catalog::Customer,
     digest::{Digest, Peers},
 };
-use crate::clock::{Time, fading, micros};
+use crate::clock::{Time, decay_factor, micros};
 
 const MICROTOKENS_PER_TOKEN: i64 = 1_000_000;
 
@@ -97,7 +97,7 @@
 
     fn refill(&mut self, now: Time) {
         let passed = now.since(self.refilled_at);
-        self.small_demand = (self.small_demand as f64 * fading(passed, SMALL_DEMAND_HALF_LIFE)) as i64;
+        self.small_demand = (self.small_demand as f64 * decay_factor(passed, SMALL_DEMAND_HALF_LIFE)) as i64;
         let inflow = signed(micros(passed)) * self.rate;
         self.level = (self.level + inflow).min(self.burst);
         self.deferred = (self.deferred - inflow).max(0);
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -282,7 +282,7 @@
             let asked = admission.tokens;
             let message =
                 format!("{name} asked for {asked} tokens and has {left} left; rate {rate}, burst {burst}");
-            return Err(Refusal::not_run(Code::OverRate, message).retry_after(wait));
+            return Err(Refusal::not_run(Code::OverRate, message).with_retry_after(wait));
         }
         self.budget.record_request(now, &admission.service);
         Ok(())
@@ -573,5 +573,5 @@
 }
 
 fn no_endpoint() -> Refusal {
-    Refusal::not_run(Code::NoEndpoint, "no endpoint is available").retry_after(ENDPOINT_RETRY_AFTER)
+    Refusal::not_run(Code::NoEndpoint, "no endpoint is available").with_retry_after(ENDPOINT_RETRY_AFTER)
 }
--- a/crates/daemon/src/entry/owner.rs
+++ b/crates/daemon/src/entry/owner.rs
@@ -17,9 +17,9 @@
 use tarragonhill_core::{
     Clock, Request, Time,
     home::{self, Home},
-    message::{Answer, Ask},
+    message::{PeerReply, PeerRequest},
     placement::{Need, Policy, Search, View},
-    quarantine::{self, Strike},
+    quarantine::{self, CrashStatus},
     quota::{Admission, Bucket, Grant, Limiter, Waiter},
     retry::Budget,
 };
@@ -82,7 +82,7 @@
     waiting: BTreeMap<Request, Sender<Admission>>,
     view: View,
     budget: Budget,
-    quarantine: quarantine::Ledger,
+    quarantine: quarantine::Tracker,
     /// Prompt tokens a second.
     speed: Option<f64>,
 }
@@ -112,7 +112,7 @@
             waiting: BTreeMap::new(),
             view: View::default(),
             budget: Budget::default(),
-            quarantine: quarantine::Ledger::default(),
+            quarantine: quarantine::Tracker::default(),
             speed: None,
         }
     }
@@ -161,21 +161,21 @@
             Command::Place(placement, reply) => {
                 let _ = reply.try_send(self.place(now, &placement));
             }
-            Command::Done(endpoint, attempt) => self.view.done(&endpoint, attempt),
-            Command::Avoid(endpoint, span) => self.view.refused(now, &endpoint, span),
+            Command::Done(endpoint, attempt) => self.view.remove_sent(&endpoint, attempt),
+            Command::Avoid(endpoint, span) => self.view.record_refusal(now, &endpoint, span),
             Command::Prefilled(tokens, took) => self.prefilled(tokens, took),
-            Command::Loads(loads) => loads.into_iter().for_each(|load| self.view.report(now, load)),
-            Command::Link(endpoints, up) => self.view.link(endpoints.into_iter(), up),
-            Command::Earn(customer, endpoint) => self.budget.earn(&customer, &endpoint),
+            Command::Loads(loads) => loads.into_iter().for_each(|load| self.view.record_load(now, load)),
+            Command::Link(endpoints, up) => self.view.set_link_up(endpoints.into_iter(), up),
+            Command::Earn(customer, endpoint) => self.budget.record_success(&customer, &endpoint),
             Command::Retry(failure, reply) => {
                 let Failure { customer, endpoint, number, cause } = failure;
-                let _ = reply.try_send(self.budget.spend(&customer, &endpoint, number, cause));
+                let _ = reply.try_send(self.budget.try_spend(&customer, &endpoint, number, cause));
             }
-            Command::Strike(customer, fingerprint, crashed, reply) => {
-                let _ = reply.try_send(self.strike(now, &customer, fingerprint, crashed));
+            Command::CrashStatus(customer, fingerprint, crashed, reply) => {
+                let _ = reply.try_send(self.crash_status(now, &customer, fingerprint, crashed));
             }
-            Command::Clear(customer, fingerprint) => self.quarantine.cleared(&customer, fingerprint),
-            Command::Ask(from, ask, reply) => {
+            Command::Clear(customer, fingerprint) => self.quarantine.clear(&customer, fingerprint),
+            Command::PeerRequest(from, ask, reply) => {
                 let _ = reply.try_send(self.answer(now, &from, ask));
             }
             Command::Lent(customer, serial, grant) => self.lent(now, &customer, serial, grant),
@@ -274,13 +274,13 @@
         let Some(limiter) = self.limiters.get_mut(customer) else { return };
         if let Some(loan) = limiter.request_tokens(now) {
             let serial = loan.serial;
-            let ask = Ask::Borrow { customer: customer.clone(), loan };
+            let ask = PeerRequest::Borrow { customer: customer.clone(), loan };
             self.borrow(now, customer, serial, ask);
         }
         self.reset_timer(now, customer);
     }
 
-    fn borrow(&mut self, now: Time, customer: &Arc<str>, serial: u64, ask: Ask) {
+    fn borrow(&mut self, now: Time, customer: &Arc<str>, serial: u64, ask: PeerRequest) {
         let Some(owner) = self.home.owner(customer) else {
             self.look();
             return self.settle(now, customer, serial, None);
@@ -288,7 +288,7 @@
         if owner == self.me {
             let borrower = self.borrower.clone();
             let answer = self.answer(now, &borrower, ask);
-            let grant = if let Answer::Lent(grant) = answer { Some(grant) } else { None };
+            let grant = if let PeerReply::Lent(grant) = answer { Some(grant) } else { None };
             return self.settle(now, customer, serial, grant);
         }
         match self.home.address(&owner) {
@@ -366,35 +366,41 @@
         let _ = self.look.try_send(());
     }
 
-    fn strike(&mut self, now: Time, customer: &Arc<str>, fingerprint: u64, crashed: bool) -> Strike {
+    fn crash_status(
+        &mut self,
+        now: Time,
+        customer: &Arc<str>,
+        fingerprint: u64,
+        crashed: bool,
+    ) -> CrashStatus {
         match crashed {
-            true => self.quarantine.crashed(now, customer, fingerprint),
-            false => self.quarantine.look_up(now, customer, fingerprint),
+            true => self.quarantine.record_crash(now, customer, fingerprint),
+            false => self.quarantine.status(now, customer, fingerprint),
         }
     }
 
-    fn answer(&mut self, now: Time, from: &Arc<str>, ask: Ask) -> Answer {
+    fn answer(&mut self, now: Time, from: &Arc<str>, ask: PeerRequest) -> PeerReply {
         match ask {
-            Ask::Borrow { customer, loan } => {
+            PeerRequest::Borrow { customer, loan } => {
                 let settings = self.current.get();
                 match self.home.lend(now, &settings, &customer, from, loan) {
-                    Ok(grant) => Answer::Lent(grant),
-                    Err(not_home) => Answer::NotHome { owner: not_home.owner, epoch: not_home.epoch },
+                    Ok(grant) => PeerReply::Lent(grant),
+                    Err(not_home) => PeerReply::NotHome { owner: not_home.owner, epoch: not_home.epoch },
                 }
             }
-            Ask::Beat(beat) => {
-                self.current.heard(from, &beat);
-                Answer::Beat(self.current.beat())
+            PeerRequest::Heartbeat(heartbeat) => {
+                self.current.heard(from, &heartbeat);
+                PeerReply::Heartbeat(self.current.heartbeat())
             }
-            Ask::Strike { customer, fingerprint, crashed } => {
-                Answer::Struck(self.strike(now, &customer, fingerprint, crashed))
+            PeerRequest::CrashStatus { customer, fingerprint, crashed } => {
+                PeerReply::CrashStatus(self.crash_status(now, &customer, fingerprint, crashed))
             }
-            Ask::Look => {
+            PeerRequest::RefreshShards => {
                 self.look();
-                Answer::Noted
+                PeerReply::Acknowledged
             }
-            Ask::Renew { incarnation } => {
-                Answer::Renewed { granted: self.home.grant_renewal(now, from, incarnation) }
+            PeerRequest::Renew { incarnation } => {
+                PeerReply::Renewed { granted: self.home.grant_renewal(now, from, incarnation) }
             }
         }
     }
--- a/crates/daemon/src/entry/stages/complete.rs
+++ b/crates/daemon/src/entry/stages/complete.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use futures_lite::FutureExt as _;
-use tarragonhill_core::{Attempt, Code, Refusal, message::Breakage, quarantine::fingerprint};
+use tarragonhill_core::{Attempt, Code, Refusal, message::FailureCause, quarantine::fingerprint};
 use tarragonhill_http::server::{Outbound, Watch};
 
 use super::{
@@ -40,7 +40,7 @@
     let outbound = serve(context, ticket, &completion, output).or(gone).await;
     match outbound {
         Ok(Some(outbound)) => Ok(outbound),
-        Ok(None) | Err(None) => Err(Refusal::run(Code::Broken, "the answer was lost")),
+        Ok(None) | Err(None) => Err(Refusal::may_have_run(Code::Broken, "the answer was lost")),
         Err(Some(refusal)) => Err(refusal),
     }
 }
@@ -82,7 +82,7 @@
 }
 
 fn caller_left() -> Refusal {
-    Refusal::run(Code::Cancelled, "the caller left")
+    Refusal::may_have_run(Code::Cancelled, "the caller left")
 }
 
 fn check_size(context: &Context, completion: &Completion) -> Result<(), Refusal> {
@@ -151,13 +151,13 @@
 
 /// Refuses a request that has crashed too many endpoints, and marks one that was seen at a crash.
 async fn quarantined(context: &Context, ticket: &mut Ticket, mark: u64) -> Result<(), Refusal> {
-    let strike = context.control.strike(&ticket.key.customer, mark, false).await;
-    ticket.suspect = strike.is_suspect();
-    if strike.quarantined.is_zero() {
+    let status = context.control.crash_status(&ticket.key.customer, mark, false).await;
+    ticket.suspect = status.is_suspect();
+    if status.quarantined.is_zero() {
         return Ok(());
     }
     let message = "this request has crashed endpoints and is refused for a while";
-    Err(Refusal::not_run(Code::Quarantined, message).retry_after(strike.quarantined))
+    Err(Refusal::not_run(Code::Quarantined, message).with_retry_after(status.quarantined))
 }
 
 /// What the attempts of one request have come to so far.
@@ -199,7 +199,7 @@
             Err(Failure::Full { endpoint, retry_after }) => {
                 context.control.avoid(&endpoint, AVOID.max(retry_after.min(context.first_token)));
                 tries.full += 1;
-                let late = super::plan::patience(context, ticket).is_zero();
+                let late = super::plan::remaining_timeout(context, ticket).is_zero();
                 if tries.full > ALTERNATIVES || late {
                     return Err(overloaded(tries.ran, retry_after));
                 }
@@ -225,12 +225,12 @@
     mark: u64,
     endpoint: &Arc<str>,
     number: u32,
-    cause: Breakage,
+    cause: FailureCause,
 ) -> Result<(), Refusal> {
     let customer = ticket.key.customer.clone();
-    if cause == Breakage::Crashed {
+    if cause == FailureCause::Crashed {
         ticket.suspect = true;
-        if !context.strike(&customer, mark).await.quarantined.is_zero() {
+        if !context.report_crash(&customer, mark).await.quarantined.is_zero() {
             return Err(broken(cause));
         }
     }
@@ -261,10 +261,10 @@
 
 fn overloaded(ran: bool, retry_after: Duration) -> Refusal {
     let message = "no endpoint can meet the target for the first token";
-    let refusal = Refusal { not_run: !ran, ..Refusal::run(Code::Overloaded, message) };
-    refusal.retry_after(retry_after.max(Duration::from_millis(200)))
+    let refusal = Refusal { not_run: !ran, ..Refusal::may_have_run(Code::Overloaded, message) };
+    refusal.with_retry_after(retry_after.max(Duration::from_millis(200)))
 }
 
-fn broken(cause: Breakage) -> Refusal {
-    Refusal::run(Code::Broken, format!("the work broke off ({cause}) and could not be resumed"))
+fn broken(cause: FailureCause) -> Refusal {
+    Refusal::may_have_run(Code::Broken, format!("the work broke off ({cause}) and could not be resumed"))
 }
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -219,7 +219,7 @@
     fn overloaded(&self, now: Time, service: &str) -> Refusal {
         let why = self.state.describe(now, service);
         let message = format!("no endpoint memory becomes free before the deadline: {why}");
-        Refusal::not_run(Code::Overloaded, message).retry_after(self.state.memory_retry_after(service))
+        Refusal::not_run(Code::Overloaded, message).with_retry_after(self.state.memory_retry_after(service))
     }
 
     fn update(&mut self, now: Time, update: Update) {
@@ -304,14 +304,14 @@
 }
 
 fn forecast_json(forecast: &Forecast) -> serde_json::Value {
-    let lengths = forecast.output_length_or_default();
+    let output_length = forecast.output_length_or_default();
     serde_json::json!({
         "reading_us_per_token": forecast.prefill.map(|trend| trend.slope * 1e6),
         "own_reading_us_per_token": forecast.local_prefill.map(|trend| trend.slope * 1e6),
         "first_event_ms": forecast.first_event.map(|trend| trend.at(FORECAST_PROMPT_TOKENS).as_secs_f64() * 1e3),
         "event_us": forecast.event_interval.map(|_| forecast.typical_event_interval().as_micros() as u64),
-        "tokens_per_event": forecast.output_length.map(|_| lengths.event_tokens),
-        "estimate_spread": lengths.spread,
+        "tokens_per_event": forecast.output_length.map(|_| output_length.event_tokens),
+        "estimate_spread": output_length.spread,
     })
 }
 
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -253,14 +253,14 @@
 /// nothing of earlier or concurrent attempts, whose responses may have been lost.
 fn correct_not_run(inbound: &Inbound, refusal: Refusal) -> Refusal {
     if refusal.not_run && inbound.may_have_run() {
-        return Refusal::run(Code::OutcomeUnknown, refusal.message);
+        return Refusal::may_have_run(Code::OutcomeUnknown, refusal.message);
     }
     refusal
 }
 
 fn deadline_exceeded(inbound: &Inbound) -> Refusal {
     if inbound.may_have_run() {
-        return Refusal::run(Code::Timeout, "no response before the deadline");
+        return Refusal::may_have_run(Code::Timeout, "no response before the deadline");
     }
     Refusal::not_run(Code::Overloaded, "no placement before the deadline")
 }
--- a/crates/gateway/src/identify.rs
+++ b/crates/gateway/src/identify.rs
@@ -36,7 +36,7 @@
         Some(catalog) => look_up(catalog, &head, &metadata).map_err(|unknown| refusal(unknown, is_stale)),
         None => {
             let refusal = Refusal::not_run(Code::SettingsUnconfirmed, "no configuration is known yet");
-            Err(refusal.retry_after(RETRY_WITHOUT_CATALOG))
+            Err(refusal.with_retry_after(RETRY_WITHOUT_CATALOG))
         }
     };
     let (route, customer) = found?;
@@ -69,7 +69,7 @@
         // The route or key may have just been added, so the refusal must allow a retry.
         _ if is_stale => {
             let message = "a newer configuration may know the route and the key";
-            Refusal::not_run(Code::SettingsUnconfirmed, message).retry_after(RETRY_WHILE_STALE)
+            Refusal::not_run(Code::SettingsUnconfirmed, message).with_retry_after(RETRY_WHILE_STALE)
         }
         LookupError::Route => Refusal::not_run(Code::NotFound, "no route matches the request"),
         LookupError::Key => Refusal::not_run(Code::BadKey, "the key is unknown"),
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -169,7 +169,7 @@
         return Ok(());
     }
     Err(Refusal::not_run(Code::ShuttingDown, "the process stops before the stream would end")
-        .retry_after(RETRY_ELSEWHERE))
+        .with_retry_after(RETRY_ELSEWHERE))
 }
 
 /// Handles an attempt that failed after it may have run. Returns the reason if the request may be retried,
@@ -194,7 +194,7 @@
 /// Ends a request that may not be retried any more.
 fn give_up(inbound: &Inbound, writer: &ResponseWriter, reason: String) -> Result<(), Refusal> {
     if writer.is_unsent() && !inbound.may_have_run() {
-        return Err(Refusal::not_run(Code::Overloaded, reason).retry_after(ENDPOINT_RETRY_AFTER));
+        return Err(Refusal::not_run(Code::Overloaded, reason).with_retry_after(ENDPOINT_RETRY_AFTER));
     }
     cut(inbound, writer, reason).map(|_| ())
 }
@@ -202,7 +202,7 @@
 /// Returns a refusal if the caller has not received a response; otherwise logs that the stream is cut.
 fn cut(inbound: &Inbound, writer: &ResponseWriter, reason: String) -> Result<Option<String>, Refusal> {
     if writer.is_unsent() {
-        return Err(Refusal::run(Code::Broken, reason));
+        return Err(Refusal::may_have_run(Code::Broken, reason));
     }
     spdlog::warn!("stream cut", kv: { request = inbound.id(), reason = reason.as_str() });
     Ok(None)
--- a/crates/gateway/src/unary.rs
+++ b/crates/gateway/src/unary.rs
@@ -69,7 +69,7 @@
             Attempt::MayHaveRun(reason) => {
                 runs += used;
                 if !inbound.may_retry(runs) {
-                    let refusal = Refusal::run(Code::OutcomeUnknown, reason);
+                    let refusal = Refusal::may_have_run(Code::OutcomeUnknown, reason);
                     return give_up(inbound, writer, error_response, refusal).await;
                 }
                 reason
@@ -86,9 +86,9 @@
 
 fn retries_exhausted(inbound: &Inbound, reason: String) -> Refusal {
     if inbound.may_have_run() {
-        return Refusal::run(Code::OutcomeUnknown, reason);
+        return Refusal::may_have_run(Code::OutcomeUnknown, reason);
     }
-    Refusal::not_run(Code::Overloaded, reason).retry_after(ENDPOINT_RETRY_AFTER)
+    Refusal::not_run(Code::Overloaded, reason).with_retry_after(ENDPOINT_RETRY_AFTER)
 }
 
 /// Relays the last error response of an endpoint, or refuses the request if there was none.
