--- a/crates/core/src/gateway/completion.rs
+++ b/crates/core/src/gateway/completion.rs
@@ -40,9 +40,9 @@
     /// Target for the time to the first event; zero if none is declared.
     pub ttft_target: Duration,
     /// Target for the longest pause between events; zero if none is declared.
-    pub gap: Duration,
+    pub target_gap: Duration,
     /// How long the caller waits for an event before it disconnects.
-    pub silence: Duration,
+    pub stall_timeout: Duration,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// Endpoints that failed the request before.
@@ -53,20 +53,30 @@
     /// Converts the request into a queue entry, with start deadlines from the forecast of its
     /// service.
     pub(super) fn into_entry<T>(self, forecast: &Forecast, tag: T) -> Entry<T> {
-        let Self { service, size, received, deadline, ttft_target, gap, silence, priority, avoid } = self;
+        let Self {
+            service,
+            size,
+            received,
+            deadline,
+            ttft_target,
+            target_gap,
+            stall_timeout,
+            priority,
+            avoid,
+        } = self;
         let ttft_target = target_or_default(ttft_target);
         // The caller disconnects at its deadline, or earlier if it gets no event for too long.
         let by_deadline = deadline.minus(forecast.known_total_time(size));
-        let by_silence = received.plus(silence).minus(forecast.known_first_event_time(size.prompt));
+        let by_stall = received.plus(stall_timeout).minus(forecast.known_first_event_time(size.prompt));
         Entry {
             tag,
             service,
             size,
             memory: mean_memory(size.prompt, size.expected_output),
             soft_deadline: received.plus(ttft_target).minus(forecast.known_first_event_time(size.prompt)),
-            hard_deadline: by_deadline.min(by_silence),
+            hard_deadline: by_deadline.min(by_stall),
             priority,
-            gap,
+            target_gap,
             ttft_target,
             avoid,
         }
--- a/crates/core/src/gateway/placement.rs
+++ b/crates/core/src/gateway/placement.rs
@@ -57,7 +57,7 @@
     /// Memory that must stay free in addition to the run, in tokens.
     pub headroom: u64,
     /// Target for the longest pause between events; zero if none is declared.
-    pub gap: Duration,
+    pub target_gap: Duration,
     /// Target for the time to the first event.
     pub ttft_target: Duration,
     /// Endpoints that failed the run before.
@@ -239,7 +239,7 @@
     fn decode_with_prefill(&self, service: &str, engine: &Engine, run: &Run<'_>) -> Option<Arc<Endpoint>> {
         let forecast = self.forecasts.service(service);
         let pause = forecast.local_prefill_time(run.prompt) + forecast.typical_event_interval();
-        if !run.gap.is_zero() && pause > run.gap {
+        if !run.target_gap.is_zero() && pause > run.target_gap {
             return None;
         }
         // Indexes cover all listed endpoints: replicas may disagree on which ones are candidates.
--- a/crates/core/src/gateway/queue.rs
+++ b/crates/core/src/gateway/queue.rs
@@ -28,7 +28,7 @@
     /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// Target for the longest pause between events; zero if none is declared.
-    pub gap: Duration,
+    pub target_gap: Duration,
     /// Target for the time to the first event.
     pub ttft_target: Duration,
     /// Endpoints that failed the request before.
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -60,10 +60,10 @@
     pub lease: Lease,
     /// Prompt tokens queued for prefill there, including this prompt; zero if there is nothing to
     /// prefill.
-    pub tokens: u64,
+    pub prefill_tokens: u64,
     /// Time limit for the prefill before another endpoint is tried; zero if there is nothing to
     /// prefill.
-    pub limit: Duration,
+    pub prefill_timeout: Duration,
 }
 
 /// A complete or partial list of endpoints.
@@ -408,14 +408,14 @@
 
     /// Assigns endpoints to a completion; `None` if it has to wait.
     fn place(&mut self, now: Time, entry: &Entry<T>) -> Option<Pair> {
-        let Entry { service, size, memory, gap, ttft_target, avoid, .. } = entry;
+        let Entry { service, size, memory, target_gap, ttft_target, avoid, .. } = entry;
         let engine = self.engine(service)?;
         let spread = self.forecasts.service(service).output_length_or_default().spread;
         let run = Run {
             prompt: size.prompt,
             growth: Growth::for_run(*size, 0, spread),
             headroom: headroom(&engine, entry.is_late(now)),
-            gap: *gap,
+            target_gap: *target_gap,
             ttft_target: *ttft_target,
             avoid,
         };
@@ -553,7 +553,7 @@
         output: Option<Estimate>,
     ) -> Assignment {
         let lease = self.loads.acquire_run(now, &endpoint.id, share, output);
-        Assignment { endpoint, lease, tokens: 0, limit: Duration::ZERO }
+        Assignment { endpoint, lease, prefill_tokens: 0, prefill_timeout: Duration::ZERO }
     }
 
     fn assign_prefill(
@@ -565,10 +565,10 @@
     ) -> Assignment {
         let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.total(now).prefill_tokens);
         let forecast = self.forecasts.endpoint(now, &endpoint.service, &endpoint.id);
-        let tokens = ahead + prompt;
-        let limit = forecast.prefill_timeout(tokens, ttft_target);
+        let prefill_tokens = ahead + prompt;
+        let prefill_timeout = forecast.prefill_timeout(prefill_tokens, ttft_target);
         let share = Share { prefill_tokens: prompt, ..Share::default() };
-        Assignment { tokens, limit, ..self.assign(now, endpoint, share, None) }
+        Assignment { prefill_tokens, prefill_timeout, ..self.assign(now, endpoint, share, None) }
     }
 }
 
--- a/crates/core/tests/gateway/placement.rs
+++ b/crates/core/tests/gateway/placement.rs
@@ -268,7 +268,7 @@
     );
     let mut loads = Loads::default();
     loads.acquire(at(0), &"p-1".into(), Share { prefill_tokens: 30_000, ..Share::default() });
-    let run = Run { gap: Duration::from_millis(300), ..run_of(5_000, 0) };
+    let run = Run { target_gap: Duration::from_millis(300), ..run_of(5_000, 0) };
     let selected = |index| {
         let partition = Partition { index, count: 3 };
         let found = View { partition, ..view(&directory, &loads, 10) }.pair("drafting", &engine(), &run);
@@ -291,7 +291,7 @@
     let mut loads = Loads::default();
     loads.acquire(at(0), &"p-1".into(), Share { prefill_tokens: 30_000, ..Share::default() });
     let lease = loads.acquire(at(0), &"d-1".into(), Share { prefill_tokens: 5_000, ..share_of(5_000) });
-    let run = Run { gap: Duration::from_millis(300), ..run_of(5_000, 0) };
+    let run = Run { target_gap: Duration::from_millis(300), ..run_of(5_000, 0) };
     let is_placed =
         |loads: &Loads, now| view(&directory, loads, now).pair("drafting", &engine(), &run).is_some();
     assert!(!is_placed(&loads, 10));
--- a/crates/core/tests/gateway/queue.rs
+++ b/crates/core/tests/gateway/queue.rs
@@ -23,7 +23,7 @@
         soft_deadline: at(soft_deadline),
         hard_deadline: at(hard_deadline),
         priority: 1,
-        gap: Duration::from_millis(300),
+        target_gap: Duration::from_millis(300),
         ttft_target: Duration::from_millis(900),
         avoid: Vec::new(),
     }
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -54,8 +54,8 @@
         received: at(0),
         deadline: at(14_000),
         ttft_target: Duration::from_millis(900),
-        gap: Duration::from_millis(300),
-        silence: Duration::from_millis(3_600),
+        target_gap: Duration::from_millis(300),
+        stall_timeout: Duration::from_millis(3_600),
         priority: 1,
         avoid: Vec::new(),
     }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -73,9 +73,9 @@
     /// Endpoint that the request is placed on.
     pub endpoint: Arc<Endpoint>,
     /// Prompt tokens queued at a prefill endpoint, including this prompt; zero for other placements.
-    pub tokens: u64,
+    pub prefill_tokens: u64,
     /// Prefill timeout, after which another endpoint is asked; zero for other placements.
-    pub limit: Duration,
+    pub prefill_timeout: Duration,
     lease: Lease,
     outcome: Outcome,
     control: Control,
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -164,10 +164,17 @@
     }
 
     /// Returns `None` once all handles have been dropped; no request is left to receive the permit then.
-    fn permit(&self, place: Assignment) -> Option<Permit> {
-        let Assignment { endpoint, lease, tokens, limit } = place;
+    fn permit(&self, assignment: Assignment) -> Option<Permit> {
+        let Assignment { endpoint, lease, prefill_tokens, prefill_timeout } = assignment;
         let control = self.weak_control.upgrade()?;
-        Some(Permit { endpoint, tokens, limit, lease, outcome: Outcome::Abandoned, control })
+        Some(Permit {
+            endpoint,
+            prefill_tokens,
+            prefill_timeout,
+            lease,
+            outcome: Outcome::Abandoned,
+            control,
+        })
     }
 
     fn permits(&self, pair: Pair) -> Option<Permits> {
@@ -184,12 +191,14 @@
             Command::AcquireRetry(service, reply) => drop(reply.try_send(self.state.retry(now, &service))),
             Command::IsSplit(service, reply) => drop(reply.try_send(self.state.is_split(now, &service))),
             Command::Place(service, avoid, reply) => {
-                let place = self.state.place_whole(now, &service, &avoid);
-                drop(reply.try_send(place.and_then(|place| self.permit(place).ok_or_else(shutting_down))));
+                let assignment = self.state.place_whole(now, &service, &avoid);
+                drop(reply.try_send(
+                    assignment.and_then(|assignment| self.permit(assignment).ok_or_else(shutting_down)),
+                ));
             }
             Command::PlacePrompt(prompt, reply) => {
-                let place = self.state.place_prefill(now, &prompt);
-                drop(reply.try_send(place.and_then(|place| self.permit(place))));
+                let assignment = self.state.place_prefill(now, &prompt);
+                drop(reply.try_send(assignment.and_then(|assignment| self.permit(assignment))));
             }
             Command::Enqueue(completion, reply) => self.state.enqueue(now, completion, reply),
             Command::Forecast(service, reply) => drop(reply.try_send(self.state.forecast(&service))),
--- a/crates/gateway/src/stream/placement.rs
+++ b/crates/gateway/src/stream/placement.rs
@@ -94,8 +94,8 @@
         received: inbound.received,
         deadline: inbound.deadline,
         ttft_target: inbound.route.target_latency,
-        gap: inbound.route.target_gap,
-        silence: inbound.route.stall_timeout,
+        target_gap: inbound.route.target_gap,
+        stall_timeout: inbound.route.stall_timeout,
         priority: inbound.priority(),
         avoid: avoid.to_vec(),
     }
--- a/crates/gateway/src/stream/prefill.rs
+++ b/crates/gateway/src/stream/prefill.rs
@@ -67,7 +67,7 @@
     endpoint: &Arc<Endpoint>,
 ) -> Result<Arc<str>, Failure> {
     let began = context.clock.now();
-    let sent = inbound.send(context, endpoint, Task::Prefill, permit.limit).await;
+    let sent = inbound.send(context, endpoint, Task::Prefill, permit.prefill_timeout).await;
     let exchanged = match sent {
         Ok(exchange) => exchange.read_whole().await,
         Err(failure) => Err(failure),
@@ -77,7 +77,7 @@
             let result = context.dialect.decode_prefill(&body);
             if result.is_some() {
                 let took = context.clock.now().since(began);
-                permit.observe(Observation::Prefill { tokens: permit.tokens, took });
+                permit.observe(Observation::Prefill { tokens: permit.prefill_tokens, took });
                 permit.record_response();
             }
             result.ok_or(Failure::InvalidResponse("the name of the prefill result is missing"))
@@ -95,7 +95,7 @@
             let is_unsent = matches!(failure, Failure::Connect(_));
             if matches!(failure, Failure::Timeout) {
                 let waited = context.clock.now().since(began);
-                permit.observe(Observation::PrefillTimeout { tokens: permit.tokens, waited });
+                permit.observe(Observation::PrefillTimeout { tokens: permit.prefill_tokens, waited });
             }
             if !is_unsent {
                 context.control.record_failure(&endpoint.id, inbound.admission.fingerprint);
