--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -22,8 +22,8 @@
         directory::Endpoint,
         forecast::{Forecast, Observation},
         health::Outcome,
-        knowledge::Knowledge,
         load::Lease,
+        snapshot::Snapshot,
         staleness::Versions,
         state::Admission,
     },
@@ -61,7 +61,7 @@
     DropOrder(Arc<str>),
     Update(Update),
     Digest(Box<Digest>, SocketAddr),
-    Snapshot(ReplySender<Option<Knowledge>>),
+    Snapshot(ReplySender<Option<Snapshot>>),
     NewerPeers(ReplySender<Vec<Member>>),
     Versions(ReplySender<Versions>),
     Members(ReplySender<Vec<Member>>),
@@ -73,9 +73,9 @@
     /// Endpoint that the request is placed on.
     pub endpoint: Arc<Endpoint>,
     /// Prompt tokens queued at a prefill endpoint, including this prompt; zero for other placements.
-    pub tokens: u64,
+    pub prefill_tokens: u64,
     /// Prefill timeout, after which another endpoint is asked; zero for other placements.
-    pub limit: Duration,
+    pub prefill_timeout: Duration,
     lease: Lease,
     outcome: Outcome,
     control: Control,
@@ -248,7 +248,7 @@
     }
 
     /// Returns a snapshot of what has been read from the store; `None` before the first configuration.
-    pub async fn snapshot(&self) -> Option<Knowledge> {
+    pub async fn snapshot(&self) -> Option<Snapshot> {
         self.request(Command::Snapshot).await.flatten()
     }
 
--- a/crates/gateway/src/identify.rs
+++ b/crates/gateway/src/identify.rs
@@ -7,7 +7,7 @@
 use tarragonhill_core::{
     Refusal, Time,
     gateway::{
-        catalog::{Catalog, Customer, Route, Unknown},
+        catalog::{Catalog, Customer, LookupError, Route},
         state::Admission,
     },
     refusal::Code,
@@ -42,7 +42,7 @@
     let (route, customer) = found?;
     let admission = Admission {
         tokens: customer.as_ref().map_or(0, |customer| token_cost(customer, &metadata)),
-        service: route.service(rand::rng().random()).clone(),
+        service: route.pick_service(rand::rng().random()).clone(),
         fingerprint: fingerprint(customer.as_ref().map_or("", |customer| &*customer.name), &head, &body),
         customer,
     };
@@ -51,28 +51,28 @@
 
 /// Returns the tokens that a request takes from its customer's token bucket.
 fn token_cost(customer: &Customer, metadata: &Metadata) -> u64 {
-    let tokens = metadata.tokens.filter(|_| customer.by_tokens);
-    tokens.map_or(customer.flat, |tokens| tokens.prompt + tokens.output)
+    let tokens = metadata.tokens.filter(|_| customer.counts_tokens);
+    tokens.map_or(customer.plain_tokens, |tokens| tokens.prompt + tokens.output)
 }
 
 type Found = (Arc<Route>, Option<Arc<Customer>>);
 
-fn look_up(catalog: &Catalog, head: &Request, metadata: &Metadata) -> Result<Found, Unknown> {
+fn look_up(catalog: &Catalog, head: &Request, metadata: &Metadata) -> Result<Found, LookupError> {
     let host = head.fields.get("host").unwrap_or_default();
     let route = catalog.route(host, head.path())?;
-    let customer = catalog.caller(route, metadata.key.as_deref())?;
+    let customer = catalog.authenticate(route, metadata.key.as_deref())?;
     Ok((route.clone(), customer.cloned()))
 }
 
-fn refusal(unknown: Unknown, is_stale: bool) -> Refusal {
-    match unknown {
+fn refusal(error: LookupError, is_stale: bool) -> Refusal {
+    match error {
         // The route or key may have just been added, so the refusal must allow a retry.
         _ if is_stale => {
             let message = "a newer configuration may know the route and the key";
             Refusal::not_run(Code::SettingsUnconfirmed, message).with_retry_after(RETRY_WHILE_STALE)
         }
-        Unknown::Route => Refusal::not_run(Code::NotFound, "no route matches the request"),
-        Unknown::Key => Refusal::not_run(Code::BadKey, "the key is unknown"),
+        LookupError::Route => Refusal::not_run(Code::NotFound, "no route matches the request"),
+        LookupError::Key => Refusal::not_run(Code::BadKey, "the key is unknown"),
     }
 }
 
--- a/crates/gateway/src/stream/placement.rs
+++ b/crates/gateway/src/stream/placement.rs
@@ -58,7 +58,7 @@
         context.metrics.placement_waits.observe(now.since(inbound.received).as_secs_f64());
         let prefill_endpoint = prefill.as_ref().map(|prefill| &*prefill.endpoint);
         inbound.log_placement(now, &decode.endpoint, prefill_endpoint);
-        if engine.longest_hold.is_zero() {
+        if engine.max_reservation.is_zero() {
             return Ok(Placement::Split { decode, prefill, reservation: None });
         }
         match reserve(context, &decode.endpoint, &engine, decode.memory()).await {
@@ -93,9 +93,9 @@
         size: inbound.size(),
         received: inbound.received,
         deadline: inbound.deadline,
-        ttft_target: inbound.route.aim,
-        gap: inbound.route.gap,
-        silence: inbound.route.silence,
+        ttft_target: inbound.route.target_latency,
+        target_gap: inbound.route.target_gap,
+        stall_timeout: inbound.route.stall_timeout,
         priority: inbound.priority(),
         avoid: avoid.to_vec(),
     }
@@ -108,7 +108,7 @@
     engine: &Engine,
     memory: u64,
 ) -> Result<Option<Guard>, ReserveError> {
-    let message = context.dialect.reserve(endpoint, memory, engine.longest_hold.min(MAX_RESERVATION_TTL));
+    let message = context.dialect.reserve(endpoint, memory, engine.max_reservation.min(MAX_RESERVATION_TTL));
     let sent = context.client().send(endpoint, &message.head, &message.body, None, RESERVE_TIMEOUT).await;
     let unreachable = |failure: Failure| ReserveError::Unreachable(failure.to_string());
     let exchange = sent.map_err(unreachable)?;
--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -13,7 +13,7 @@
 use futures_lite::stream::{self, Stream};
 use prost::Message as _;
 use rand::seq::IndexedRandom as _;
-use tarragonhill_core::gateway::{digest::Member, knowledge::Knowledge};
+use tarragonhill_core::gateway::{digest::Member, snapshot::Snapshot};
 use tarragonhill_wire::proto::{self, entry_client::EntryClient, entry_server};
 use tonic::{
     Request, Response, Status,
@@ -112,7 +112,7 @@
     }
 }
 
-async fn request_snapshot(member: &Member, question: proto::Question) -> Result<Knowledge, String> {
+async fn request_snapshot(member: &Member, question: proto::Question) -> Result<Snapshot, String> {
     let endpoint = Endpoint::from_shared(format!("http://{}", member.address));
     let endpoint = endpoint.map_err(|error| error.to_string())?;
     let channel = with_timeout(endpoint.connect()).await?.map_err(|error| error.to_string())?;
@@ -127,15 +127,15 @@
         bytes.extend_from_slice(&chunk.data);
     }
     let snapshot = proto::Knowledge::decode(bytes.as_slice()).map_err(|error| error.to_string())?;
-    Knowledge::try_from(snapshot).map_err(|error| error.to_string())
+    Snapshot::try_from(snapshot).map_err(|error| error.to_string())
 }
 
 async fn with_timeout<T>(step: impl Future<Output = T>) -> Result<T, String> {
     timeout(STEP_TIMEOUT, step).await.map_err(|_| "request timed out".to_string())
 }
 
-fn apply(context: &Context, member: &Member, snapshot: Knowledge) {
-    let Knowledge { versions, configuration, listing } = snapshot;
+fn apply(context: &Context, member: &Member, snapshot: Snapshot) {
+    let Snapshot { versions, configuration, listing } = snapshot;
     let order = versions.configuration;
     spdlog::info!("snapshot fetched from a peer", kv: {
         peer = &*member.name, order, configuration = configuration.len(), endpoints = listing.rows.len()
--- a/crates/gateway/src/unary.rs
+++ b/crates/gateway/src/unary.rs
@@ -10,7 +10,7 @@
 use futures_lite::FutureExt as _;
 use tarragonhill_core::{
     Refusal,
-    gateway::{health::Outcome, state::COME_BACK},
+    gateway::{health::Outcome, state::ENDPOINT_RETRY_AFTER},
     refusal::Code,
 };
 use tarragonhill_h1::head::Response;
@@ -88,7 +88,7 @@
     if inbound.may_have_run() {
         return Refusal::may_have_run(Code::OutcomeUnknown, reason);
     }
-    Refusal::not_run(Code::Overloaded, reason).with_retry_after(COME_BACK)
+    Refusal::not_run(Code::Overloaded, reason).with_retry_after(ENDPOINT_RETRY_AFTER)
 }
 
 /// Relays the last error response of an endpoint, or refuses the request if there was none.
@@ -129,7 +129,7 @@
     if !inbound.may_retry(runs + 1) {
         return (first.await, 1);
     }
-    let delay = inbound.route.aim.mul_f64(HEDGE_AFTER);
+    let delay = inbound.route.target_latency.mul_f64(HEDGE_AFTER);
     if let Ok(attempt) = timeout(delay, first.as_mut()).await {
         return (attempt, 1);
     }
