--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -43,37 +43,37 @@
     context: Arc<Context>,
     drain: Duration,
     tasks: Vec<JoinHandle<()>>,
-    callers: Closer,
-    accept: JoinHandle<()>,
+    caller_closer: Closer,
+    accept_task: JoinHandle<()>,
 }
 
 impl Entry {
     /// Starts an entry.
     pub async fn start(settings: EntrySettings, clock: Clock) -> Result<Self, StartError> {
         let common = settings.common.clone();
-        let callers = Server::bind(&common.listen.to_string(), settings.limits).await;
-        let callers = callers.map_err(|error| StartError::Listen {
+        let caller_server = Server::bind(&common.listen.to_string(), settings.limits).await;
+        let caller_server = caller_server.map_err(|error| StartError::Listen {
             setting: "listen",
             address: common.listen.to_string(),
             error,
         })?;
         let admin_server = bind("admin", common.admin).await?;
-        let (address, admin) = (callers.address(), admin_server.address());
-        let closer = callers.closer();
+        let (address, admin) = (caller_server.address(), admin_server.address());
+        let closer = caller_server.closer();
         let (incoming, peer) = crate::agent::listen("peer", settings.peer)?;
 
         let metrics = Metrics::new();
         let current = Arc::new(Current::new(clock.clone()));
         let peers = Peers::default();
         let identity = control::Identity::new(common.name.clone(), peer, common.zone.clone());
-        let (look, looks) = async_channel::bounded(1);
+        let (home_refresh, home_refreshes) = async_channel::bounded(1);
         let setup = Setup {
             identity,
             policy: settings.policy,
             clock: clock.clone(),
             current: current.clone(),
             peers: peers.clone(),
-            look,
+            home_refresh,
         };
         let control = owner::start(setup).map_err(StartError::Thread)?;
         let links = Links::new(common.name.clone(), control.clone(), current.clone());
@@ -92,24 +92,25 @@
             table: Arc::new(HttpTable::new(common.table)),
             metrics,
             running: Default::default(),
-            leaving: Default::default(),
+            is_shutting_down: Default::default(),
             entries: Default::default(),
         });
 
         let mut tasks = vec![
-            task::spawn(follow(context.clone(), common.poll)),
-            task::spawn(homes::keep(context.clone(), settings.hosts, looks)),
-            task::spawn(exchange::heartbeat(context.clone())),
+            task::spawn(follow_settings(context.clone(), common.poll)),
+            task::spawn(homes::maintain(context.clone(), settings.hosts, home_refreshes)),
+            task::spawn(exchange::send_heartbeats(context.clone())),
             exchange::serve(incoming, context.clone()),
         ];
-        let operators = context.clone();
+        let admin_context = context.clone();
         tasks.push(task::spawn(
-            admin_server.serve(move |inbound| operators::answer(operators.clone(), inbound)),
+            admin_server.serve(move |inbound| operators::answer(admin_context.clone(), inbound)),
         ));
-        let served = context.clone();
-        let accept = task::spawn(callers.serve(move |inbound| caller::answer(served.clone(), inbound)));
+        let request_context = context.clone();
+        let accept_task =
+            task::spawn(caller_server.serve(move |inbound| caller::answer(request_context.clone(), inbound)));
         spdlog::info!("entry started", kv: { name = &*context.name, listen = address.to_string().as_str() });
-        Ok(Self { address, admin, context, drain: common.drain, tasks, callers: closer, accept })
+        Ok(Self { address, admin, context, drain: common.drain, tasks, caller_closer: closer, accept_task })
     }
 
     /// Where callers reach it.
@@ -125,17 +126,17 @@
     /// Takes no new requests, lets running ones end, hands its customers over, then stops.
     pub async fn shutdown(self) {
         let context = &self.context;
-        context.leaving.store(true, Ordering::Relaxed);
+        context.is_shutting_down.store(true, Ordering::Relaxed);
         let began = context.clock.now();
-        let left = || context.clock.now().since(began) < self.drain;
+        let has_time_left = || context.clock.now().since(began) < self.drain;
         // Still accepting: whoever comes now is told to go elsewhere, instead of a broken connection.
-        while left() && context.running.load(Ordering::Relaxed) > 0 {
+        while has_time_left() && context.running.load(Ordering::Relaxed) > 0 {
             context.clock.sleep(DRAIN_POLL).await;
         }
-        self.callers.close().await;
-        self.accept.cancel().await;
+        self.caller_closer.close().await;
+        self.accept_task.cancel().await;
         context.control.leave();
-        while left() && !context.control.has_left().await {
+        while has_time_left() && !context.control.has_left().await {
             context.clock.sleep(DRAIN_POLL).await;
         }
         stop(&self.context, self.tasks).await;
@@ -143,7 +144,7 @@
 
     /// Stops at once, as a crash would.
     pub async fn kill(self) {
-        self.accept.cancel().await;
+        self.accept_task.cancel().await;
         stop(&self.context, self.tasks).await;
     }
 }
@@ -156,11 +157,11 @@
     }
 }
 
-async fn follow(context: Arc<Context>, poll: Duration) {
+async fn follow_settings(context: Arc<Context>, poll: Duration) {
     let current = context.current.clone();
     let adopted = |snapshot: Arc<Snapshot>| {
-        context.links.want(&snapshot);
-        context.control.settings(snapshot);
+        context.links.set_agents(&snapshot);
+        context.control.update_settings(snapshot);
     };
     current.follow(&*context.table, poll, None, adopted).await;
 }
--- a/crates/daemon/src/entry/caller.rs
+++ b/crates/daemon/src/entry/caller.rs
@@ -6,37 +6,37 @@
 use tarragonhill_http::server::{BodyError, Inbound, Outbound};
 
 use crate::entry::{
-    context::{Context, new_request},
+    context::{Context, new_request_id},
     once,
     request::{Call, Completion, refusal_body},
-    stages::{self, Ticket},
+    stages::{self, RequestInfo},
 };
 
 /// Prefix of the paths of plain services.
-const SERVICES: &str = "/v1/services/";
+const SERVICE_PREFIX: &str = "/v1/services/";
 /// Answers one request of a caller.
 pub(crate) async fn answer(context: Arc<Context>, mut inbound: Inbound) -> Outbound {
-    let request = new_request();
-    let _inside = context.enter();
+    let request = new_request_id();
+    let _guard = context.track_running();
     match route(&context, request, &mut inbound).await {
         Ok(outbound) => outbound.header("x-request-id", request.to_string()),
-        Err(refusal) => refuse(&context, request, &refusal),
+        Err(refusal) => refusal_response(&context, request, &refusal),
     }
 }
 
 async fn route(context: &Arc<Context>, request: Request, inbound: &mut Inbound) -> Result<Outbound, Refusal> {
     let arrived = context.clock.now();
-    let body = std::mem::replace(&mut inbound.body, Ok(Vec::new())).map_err(unreadable)?;
+    let body = std::mem::replace(&mut inbound.body, Ok(Vec::new())).map_err(body_refusal)?;
     let key = stages::identify(context, inbound.header("authorization"))?;
-    let ticket = Ticket { request, key, arrived, waiting: arrived, suspect: false };
+    let info = RequestInfo { request, key, arrived, waiting_since: arrived, suspect: false };
     if inbound.path == "/v1/completions" {
         if inbound.method != "POST" {
             return Err(Refusal::not_run(Code::NotFound, "completions take POST"));
         }
         let completion = Completion::parse(&body)?;
-        return stages::complete(context, ticket, completion, inbound.watch()).await;
+        return stages::complete(context, info, completion, inbound.watch()).await;
     }
-    let Some(rest) = inbound.path.strip_prefix(SERVICES) else {
+    let Some(rest) = inbound.path.strip_prefix(SERVICE_PREFIX) else {
         return Err(Refusal::not_run(Code::NotFound, format!("no {} {}", inbound.method, inbound.path)));
     };
     let call = Call::parse(inbound, rest, body)?;
@@ -45,14 +45,14 @@
         // outcome is recorded.
         Some(idempotency_key) => {
             let context = context.clone();
-            async_std::task::spawn(async move { once::call(&context, &ticket, call, &idempotency_key).await })
+            async_std::task::spawn(async move { once::call(&context, &info, call, &idempotency_key).await })
                 .await
         }
-        None => stages::call(context, &ticket, call).await,
+        None => stages::call(context, &info, call).await,
     }
 }
 
-fn unreadable(error: BodyError) -> Refusal {
+fn body_refusal(error: BodyError) -> Refusal {
     match error {
         BodyError::TooLarge => {
             Refusal::not_run(Code::BodyTooLarge, "the body is larger than this entry takes")
@@ -62,8 +62,8 @@
     }
 }
 
-fn refuse(context: &Context, request: Request, refusal: &Refusal) -> Outbound {
-    context.metrics.refuse(refusal.code);
+fn refusal_response(context: &Context, request: Request, refusal: &Refusal) -> Outbound {
+    context.metrics.count_refusal(refusal.code);
     let id = request.to_string();
     spdlog::info!("refused: {}", refusal.message, kv: { request = id.as_str(), code = refusal.code.to_string().as_str() });
     let outbound =
--- a/crates/daemon/src/entry/context.rs
+++ b/crates/daemon/src/entry/context.rs
@@ -21,7 +21,7 @@
 };
 
 /// What a refused caller is told to wait while the entry catches up with the settings.
-const CATCH_UP: Duration = Duration::from_secs(1);
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The shared parts of one entry.
 pub(crate) struct Context {
@@ -41,7 +41,7 @@
     /// Requests being served.
     pub(crate) running: AtomicUsize,
     /// Set once a graceful shutdown has begun.
-    pub(crate) leaving: AtomicBool,
+    pub(crate) is_shutting_down: AtomicBool,
     /// The other entries that may accept changes of settings.
     pub(crate) entries: Mutex<Arc<BTreeSet<Arc<str>>>>,
 }
@@ -50,9 +50,9 @@
     /// Refuses while the entry is leaving or cannot bound the age of its settings. Computed at each
     /// check, so that a process that was paused notices when it wakes up.
     pub(crate) fn check_serving(&self) -> Result<(), Refusal> {
-        if self.leaving.load(Ordering::Relaxed) {
+        if self.is_shutting_down.load(Ordering::Relaxed) {
             return Err(Refusal::not_run(Code::ShuttingDown, "this entry is shutting down")
-                .with_retry_after(CATCH_UP));
+                .with_retry_after(UNAVAILABLE_RETRY_AFTER));
         }
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let now = self.clock.now();
@@ -60,7 +60,7 @@
             return Ok(());
         }
         let message = "this entry cannot tell whether its settings are the newest";
-        Err(Refusal::not_run(Code::SettingsUnconfirmed, message).with_retry_after(CATCH_UP))
+        Err(Refusal::not_run(Code::SettingsUnconfirmed, message).with_retry_after(UNAVAILABLE_RETRY_AFTER))
     }
 
     /// Counts a crash here and tells all other entries, so that sending the request again through
@@ -69,8 +69,8 @@
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
         for address in self.control.addresses((*entries).clone()).await.into_values() {
             let context = self.clone();
-            let ask = PeerRequest::CrashStatus { customer: customer.clone(), fingerprint, crashed: true };
-            task::spawn(async move { context.peers.ask(&address, &context.name, ask).await });
+            let request = PeerRequest::CrashStatus { customer: customer.clone(), fingerprint, crashed: true };
+            task::spawn(async move { context.peers.exchange(&address, &context.name, request).await });
         }
         self.control.crash_status(customer, fingerprint, true).await
     }
@@ -81,22 +81,22 @@
     }
 
     /// Counts a request as running until the guard is dropped.
-    pub(crate) fn enter(self: &Arc<Self>) -> Inside {
+    pub(crate) fn track_running(self: &Arc<Self>) -> RunningGuard {
         self.running.fetch_add(1, Ordering::Relaxed);
-        Inside(self.clone())
+        RunningGuard(self.clone())
     }
 }
 
 /// One running request.
-pub(crate) struct Inside(Arc<Context>);
+pub(crate) struct RunningGuard(Arc<Context>);
 
-impl Drop for Inside {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.running.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// A new request identifier.
-pub(crate) fn new_request() -> Request {
+pub(crate) fn new_request_id() -> Request {
     Request(rand::random())
 }
--- a/crates/daemon/src/entry/control.rs
+++ b/crates/daemon/src/entry/control.rs
@@ -36,7 +36,7 @@
 
 /// A question where to send work.
 #[derive(Clone, Debug)]
-pub(crate) struct Placement {
+pub(crate) struct PlacementRequest {
     pub(crate) attempt: Attempt,
     pub(crate) serves: Arc<str>,
     pub(crate) role: Role,
@@ -46,16 +46,16 @@
 
 /// Where work goes.
 #[derive(Clone, Debug)]
-pub(crate) struct Placed {
+pub(crate) struct Target {
     pub(crate) endpoint: Arc<str>,
     pub(crate) agent: Arc<str>,
     /// How long its prefill is expected to take once it runs.
-    pub(crate) prefill: Duration,
+    pub(crate) prefill_time: Duration,
 }
 
 /// A report of what became of an attempt.
 #[derive(Clone, Debug)]
-pub(crate) struct Failure {
+pub(crate) struct RetryRequest {
     pub(crate) customer: Arc<str>,
     pub(crate) endpoint: Arc<str>,
     pub(crate) number: u32,
@@ -67,24 +67,24 @@
     Settings(Arc<Snapshot>),
     Admit(Arc<str>, Waiter, Sender<Admission>),
     Refund(Arc<str>, u64),
-    Forget(Arc<str>, Request),
-    Place(Placement, Sender<Option<Placed>>),
-    Done(Arc<str>, Attempt),
+    CancelAdmission(Arc<str>, Request),
+    Place(PlacementRequest, Sender<Option<Target>>),
+    RemoveSent(Arc<str>, Attempt),
     Avoid(Arc<str>, Duration),
-    Prefilled(u32, Duration),
+    RecordPrefill(u32, Duration),
     Loads(Vec<Load>),
-    Link(Vec<Arc<str>>, bool),
-    Earn(Arc<str>, Arc<str>),
-    Retry(Failure, Sender<bool>),
+    SetLinkUp(Vec<Arc<str>>, bool),
+    RecordSuccess(Arc<str>, Arc<str>),
+    SpendRetry(RetryRequest, Sender<bool>),
     CrashStatus(Arc<str>, u64, bool, Sender<CrashStatus>),
-    Clear(Arc<str>, u64),
-    PeerRequest(Arc<str>, PeerRequest, Sender<PeerReply>),
-    Lent(Arc<str>, u64, Option<Grant>),
-    Renewal(Sender<home::Write>),
-    Renewed(Time),
-    Rows(Vec<Row>, Sender<BTreeSet<Arc<str>>>),
-    Gone(BTreeSet<Arc<str>>),
-    Writes(Sender<Vec<home::Write>>),
+    ClearSuspect(Arc<str>, u64),
+    AnswerPeer(Arc<str>, PeerRequest, Sender<PeerReply>),
+    LoanReply(Arc<str>, u64, Option<Grant>),
+    PrepareRenewal(Sender<home::Write>),
+    ExtendLease(Time),
+    ObserveRows(Vec<Row>, Sender<BTreeSet<Arc<str>>>),
+    SetRemovedHosts(BTreeSet<Arc<str>>),
+    PlanWrites(Sender<Vec<home::Write>>),
     Addresses(BTreeSet<Arc<str>>, Sender<BTreeMap<Arc<str>, Arc<str>>>),
     Successors(Sender<BTreeSet<Arc<str>>>),
     Leave,
@@ -111,63 +111,63 @@
         self.incarnation
     }
 
-    fn tell(&self, command: Command) {
+    fn send(&self, command: Command) {
         let _ = self.commands.try_send(command);
     }
 
-    async fn ask<T>(&self, command: impl FnOnce(Sender<T>) -> Command) -> Option<T> {
+    async fn call<T>(&self, command: impl FnOnce(Sender<T>) -> Command) -> Option<T> {
         let (sender, receiver) = async_channel::bounded(1);
-        self.tell(command(sender));
+        self.send(command(sender));
         receiver.recv().await.ok()
     }
 
-    pub(crate) fn settings(&self, snapshot: Arc<Snapshot>) {
-        self.tell(Command::Settings(snapshot));
+    pub(crate) fn update_settings(&self, snapshot: Arc<Snapshot>) {
+        self.send(Command::Settings(snapshot));
     }
 
     /// Charges a request to its customer; completes when it may run or is refused.
     pub(crate) async fn admit(&self, customer: &Arc<str>, waiter: Waiter) -> Option<Admission> {
-        self.ask(|reply| Command::Admit(customer.clone(), waiter, reply)).await
+        self.call(|reply| Command::Admit(customer.clone(), waiter, reply)).await
     }
 
     pub(crate) fn refund(&self, customer: &Arc<str>, tokens: u64) {
-        self.tell(Command::Refund(customer.clone(), tokens));
+        self.send(Command::Refund(customer.clone(), tokens));
     }
 
-    pub(crate) fn forget(&self, customer: &Arc<str>, request: Request) {
-        self.tell(Command::Forget(customer.clone(), request));
+    pub(crate) fn cancel_admission(&self, customer: &Arc<str>, request: Request) {
+        self.send(Command::CancelAdmission(customer.clone(), request));
     }
 
-    pub(crate) async fn place(&self, placement: Placement) -> Option<Placed> {
-        self.ask(|reply| Command::Place(placement, reply)).await.flatten()
+    pub(crate) async fn place(&self, request: PlacementRequest) -> Option<Target> {
+        self.call(|reply| Command::Place(request, reply)).await.flatten()
     }
 
-    pub(crate) fn done(&self, endpoint: &Arc<str>, attempt: Attempt) {
-        self.tell(Command::Done(endpoint.clone(), attempt));
+    pub(crate) fn remove_sent(&self, endpoint: &Arc<str>, attempt: Attempt) {
+        self.send(Command::RemoveSent(endpoint.clone(), attempt));
     }
 
     pub(crate) fn avoid(&self, endpoint: &Arc<str>, span: Duration) {
-        self.tell(Command::Avoid(endpoint.clone(), span));
+        self.send(Command::Avoid(endpoint.clone(), span));
     }
 
-    pub(crate) fn prefilled(&self, tokens: u32, took: Duration) {
-        self.tell(Command::Prefilled(tokens, took));
+    pub(crate) fn record_prefill(&self, tokens: u32, took: Duration) {
+        self.send(Command::RecordPrefill(tokens, took));
     }
 
-    pub(crate) fn loads(&self, loads: Vec<Load>) {
-        self.tell(Command::Loads(loads));
+    pub(crate) fn record_loads(&self, loads: Vec<Load>) {
+        self.send(Command::Loads(loads));
     }
 
-    pub(crate) fn link(&self, endpoints: Vec<Arc<str>>, up: bool) {
-        self.tell(Command::Link(endpoints, up));
+    pub(crate) fn set_link_up(&self, endpoints: Vec<Arc<str>>, up: bool) {
+        self.send(Command::SetLinkUp(endpoints, up));
     }
 
-    pub(crate) fn earn(&self, customer: &Arc<str>, endpoint: &Arc<str>) {
-        self.tell(Command::Earn(customer.clone(), endpoint.clone()));
+    pub(crate) fn record_success(&self, customer: &Arc<str>, endpoint: &Arc<str>) {
+        self.send(Command::RecordSuccess(customer.clone(), endpoint.clone()));
     }
 
-    pub(crate) async fn retry(&self, failure: Failure) -> bool {
-        self.ask(|reply| Command::Retry(failure, reply)).await.unwrap_or(false)
+    pub(crate) async fn try_spend_retry(&self, request: RetryRequest) -> bool {
+        self.call(|reply| Command::SpendRetry(request, reply)).await.unwrap_or(false)
     }
 
     /// Counts a crash, or looks up those counted.
@@ -178,67 +178,67 @@
         crashed: bool,
     ) -> CrashStatus {
         let status =
-            self.ask(|reply| Command::CrashStatus(customer.clone(), fingerprint, crashed, reply)).await;
+            self.call(|reply| Command::CrashStatus(customer.clone(), fingerprint, crashed, reply)).await;
         status.unwrap_or_default()
     }
 
     /// Clears a suspect that ran to its end.
-    pub(crate) fn clear(&self, customer: &Arc<str>, fingerprint: u64) {
-        self.tell(Command::Clear(customer.clone(), fingerprint));
+    pub(crate) fn clear_suspect(&self, customer: &Arc<str>, fingerprint: u64) {
+        self.send(Command::ClearSuspect(customer.clone(), fingerprint));
     }
 
     /// Answers another entry.
-    pub(crate) async fn answer(&self, from: Arc<str>, ask: PeerRequest) -> Option<PeerReply> {
-        self.ask(|reply| Command::PeerRequest(from, ask, reply)).await
+    pub(crate) async fn answer_peer(&self, from: Arc<str>, request: PeerRequest) -> Option<PeerReply> {
+        self.call(|reply| Command::AnswerPeer(from, request, reply)).await
     }
 
     /// Hands a home's reply in; none if it could not be reached or is elsewhere.
-    pub(crate) fn lent(&self, customer: &Arc<str>, serial: u64, grant: Option<Grant>) {
-        self.tell(Command::Lent(customer.clone(), serial, grant));
+    pub(crate) fn receive_loan(&self, customer: &Arc<str>, serial: u64, grant: Option<Grant>) {
+        self.send(Command::LoanReply(customer.clone(), serial, grant));
     }
 
-    pub(crate) async fn renewal(&self) -> Option<home::Write> {
-        self.ask(Command::Renewal).await
+    pub(crate) async fn prepare_renewal(&self) -> Option<home::Write> {
+        self.call(Command::PrepareRenewal).await
     }
 
-    pub(crate) fn renewed(&self, began: Time) {
-        self.tell(Command::Renewed(began));
+    pub(crate) fn extend_lease(&self, began: Time) {
+        self.send(Command::ExtendLease(began));
     }
 
     /// Takes rows of homes and members; returns the members that are live.
-    pub(crate) async fn rows(&self, rows: Vec<Row>) -> Option<BTreeSet<Arc<str>>> {
-        self.ask(|reply| Command::Rows(rows, reply)).await
+    pub(crate) async fn observe_rows(&self, rows: Vec<Row>) -> Option<BTreeSet<Arc<str>>> {
+        self.call(|reply| Command::ObserveRows(rows, reply)).await
     }
 
-    pub(crate) fn gone(&self, hosts: BTreeSet<Arc<str>>) {
-        self.tell(Command::Gone(hosts));
+    pub(crate) fn set_removed_hosts(&self, hosts: BTreeSet<Arc<str>>) {
+        self.send(Command::SetRemovedHosts(hosts));
     }
 
-    pub(crate) async fn writes(&self) -> Vec<home::Write> {
-        self.ask(Command::Writes).await.unwrap_or_default()
+    pub(crate) async fn plan_writes(&self) -> Vec<home::Write> {
+        self.call(Command::PlanWrites).await.unwrap_or_default()
     }
 
     pub(crate) async fn addresses(&self, names: BTreeSet<Arc<str>>) -> BTreeMap<Arc<str>, Arc<str>> {
-        self.ask(|reply| Command::Addresses(names, reply)).await.unwrap_or_default()
+        self.call(|reply| Command::Addresses(names, reply)).await.unwrap_or_default()
     }
 
     pub(crate) async fn successors(&self) -> BTreeSet<Arc<str>> {
-        self.ask(Command::Successors).await.unwrap_or_default()
+        self.call(Command::Successors).await.unwrap_or_default()
     }
 
     pub(crate) fn leave(&self) {
-        self.tell(Command::Leave);
+        self.send(Command::Leave);
     }
 
     pub(crate) async fn has_left(&self) -> bool {
-        self.ask(Command::HasLeft).await.unwrap_or(true)
+        self.call(Command::HasLeft).await.unwrap_or(true)
     }
 
     pub(crate) async fn dump(&self) -> Value {
-        self.ask(Command::Dump).await.unwrap_or_default()
+        self.call(Command::Dump).await.unwrap_or_default()
     }
 
     pub(crate) fn stop(&self) {
-        self.tell(Command::Stop);
+        self.send(Command::Stop);
     }
 }
--- a/crates/daemon/src/entry/homes.rs
+++ b/crates/daemon/src/entry/homes.rs
@@ -14,44 +14,44 @@
 use crate::entry::context::Context;
 
 /// How often the lease is renewed and ownership looked over: four times in a lease.
-const ROUND: Duration = Duration::from_millis(1_500);
+const ROUND_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Least time between rounds, however many borrowers miss a home: the table is shared.
-const PAUSE: Duration = Duration::from_millis(20);
+const MIN_ROUND_GAP: Duration = Duration::from_millis(20);
 /// Writes under way at once. One after another, the shards offered first would be without a home
 /// until the last is written.
-const AT_ONCE: usize = 16;
+const MAX_CONCURRENT_WRITES: usize = 16;
 /// Prefix of all rows of this module.
 const PREFIX: &str = "home/";
 
 /// Runs rounds for ever, one at once whenever `looks` says so.
-pub(crate) async fn keep(context: Arc<Context>, hosts: Option<SocketAddr>, looks: Receiver<()>) {
+pub(crate) async fn maintain(context: Arc<Context>, hosts: Option<SocketAddr>, refreshes: Receiver<()>) {
     let hosts = hosts.map(HttpHosts::new);
-    let mut read = 0;
+    let mut read_version = 0;
     loop {
         if let Some(hosts) = &hosts {
             observe_hosts(&context, hosts).await;
         }
         // The first reading comes before the first write, whose version it tells.
-        match observe(&context, read).await {
-            Ok(version) => read = version,
+        match observe(&context, read_version).await {
+            Ok(version) => read_version = version,
             Err(error) => spdlog::debug!("homes not read: {error}"),
         }
         renew(&context).await;
-        if write(&context).await {
-            read = observe(&context, read).await.unwrap_or(read);
+        if write_changes(&context).await {
+            read_version = observe(&context, read_version).await.unwrap_or(read_version);
         }
         // A handover keeps customers without a home only until its recipient has looked.
-        let looked = async {
-            let _ = looks.recv().await;
+        let refresh_requested = async {
+            let _ = refreshes.recv().await;
         };
-        context.clock.sleep(ROUND).or(looked).await;
-        context.clock.sleep(PAUSE).await;
+        context.clock.sleep(ROUND_INTERVAL).or(refresh_requested).await;
+        context.clock.sleep(MIN_ROUND_GAP).await;
     }
 }
 
-async fn observe(context: &Context, read: u64) -> Result<u64, TableError> {
-    let rows = context.table.list(PREFIX, read).await?;
-    let Some(mut live) = context.control.rows(rows.rows).await else { return Ok(rows.version) };
+async fn observe(context: &Context, read_version: u64) -> Result<u64, TableError> {
+    let rows = context.table.list(PREFIX, read_version).await?;
+    let Some(mut live) = context.control.observe_rows(rows.rows).await else { return Ok(rows.version) };
     live.remove(&context.name);
     context.set_entries(live);
     Ok(rows.version)
@@ -59,18 +59,18 @@
 
 async fn observe_hosts(context: &Context, hosts: &HttpHosts) {
     let Ok(listed) = hosts.hosts().await else { return };
-    let gone = listed.into_iter().filter(|host| host.state == HostState::Gone);
-    let gone: BTreeSet<Arc<str>> = gone.map(|host| host.name.into()).collect();
-    context.control.gone(gone);
+    let removed = listed.into_iter().filter(|host| host.state == HostState::Gone);
+    let removed: BTreeSet<Arc<str>> = removed.map(|host| host.name.into()).collect();
+    context.control.set_removed_hosts(removed);
 }
 
 /// Renews the lease by the table, or else by the word of all successors: one of them is the only
 /// entry that could follow this one without the table's knowing.
 async fn renew(context: &Context) {
-    let Some(renewal) = context.control.renewal().await else { return };
+    let Some(renewal_write) = context.control.prepare_renewal().await else { return };
     let began = context.clock.now();
-    if commit(&*context.table, renewal).await.is_ok() {
-        return context.control.renewed(began);
+    if commit(&*context.table, renewal_write).await.is_ok() {
+        return context.control.extend_lease(began);
     }
     let successors = context.control.successors().await;
     if successors.is_empty() {
@@ -79,25 +79,25 @@
     let addresses = context.control.addresses(successors.clone()).await;
     let mut granted = 0;
     for address in addresses.values() {
-        let ask = PeerRequest::Renew { incarnation: context.control.incarnation() };
+        let request = PeerRequest::Renew { incarnation: context.control.incarnation() };
         if let Some(PeerReply::Renewed { granted: true }) =
-            context.peers.ask(address, &context.name, ask).await
+            context.peers.exchange(address, &context.name, request).await
         {
             granted += 1;
         }
     }
     if granted == successors.len() {
-        context.control.renewed(began);
+        context.control.extend_lease(began);
     }
 }
 
 /// Carries out what the decisions want written; true if anything was.
-async fn write(context: &Arc<Context>) -> bool {
-    let writes = context.control.writes().await;
+async fn write_changes(context: &Arc<Context>) -> bool {
+    let writes = context.control.plan_writes().await;
     let any = !writes.is_empty();
-    for some in writes.chunks(AT_ONCE) {
+    for chunk in writes.chunks(MAX_CONCURRENT_WRITES) {
         let tasks: Vec<_> =
-            some.iter().cloned().map(|write| task::spawn(one(context.clone(), write))).collect();
+            chunk.iter().cloned().map(|write| task::spawn(write_one(context.clone(), write))).collect();
         let mut recipients = BTreeSet::new();
         for task in tasks {
             recipients.extend(task.await);
@@ -105,7 +105,7 @@
         for address in context.control.addresses(recipients).await.into_values() {
             let context = context.clone();
             task::spawn(async move {
-                context.peers.ask(&address, &context.name, PeerRequest::RefreshShards).await
+                context.peers.exchange(&address, &context.name, PeerRequest::RefreshShards).await
             });
         }
     }
@@ -113,7 +113,7 @@
 }
 
 /// Carries one write out; the entry that a shard was offered to by it, if one was.
-async fn one(context: Arc<Context>, write: home::Write) -> Option<Arc<str>> {
+async fn write_one(context: Arc<Context>, write: home::Write) -> Option<Arc<str>> {
     let recipient = Home::offer_recipient(&write);
     // The outcome shows when the rows are read again, also when the answer is lost.
     match commit(&*context.table, write).await {
--- a/crates/daemon/src/entry/links.rs
+++ b/crates/daemon/src/entry/links.rs
@@ -21,23 +21,23 @@
 use crate::{entry::control::Control, settings::Current};
 
 /// Fewest and most time between heartbeats on a link.
-const BEAT: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(4));
+const HEARTBEAT_INTERVAL_RANGE: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(4));
 /// Time that each link adds to the heartbeat interval of all: what beats cost an entry stays the
 /// same however many agents there are.
-const BEAT_PER_LINK: Duration = Duration::from_millis(24);
+const HEARTBEAT_INTERVAL_PER_LINK: Duration = Duration::from_millis(24);
 /// Beats that may be missing before a link is taken for dead.
-const MISSED: u32 = 2;
+const MAX_MISSED_HEARTBEATS: u32 = 2;
 /// Added to the silence allowed, for scheduling.
-const SILENCE_GRACE: Duration = Duration::from_secs(1);
+const SILENCE_MARGIN: Duration = Duration::from_secs(1);
 /// Longest time to open a link.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause before a lost link is opened again.
-const REOPEN: Duration = Duration::from_millis(200);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 /// Orders that may wait for a slow link. The channel itself has no bound, since a bounded one takes
 /// the memory for all of them at once, for each link.
-const BACKLOG: usize = 16_384;
+const MAX_QUEUED_ORDERS: usize = 16_384;
 /// Events that may wait for one attempt whose caller reads slowly.
-const INBOX: usize = 16_384;
+const MAX_QUEUED_EVENTS: usize = 16_384;
 
 /// An order could not be handed to an agent; it was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -75,7 +75,7 @@
 }
 
 struct Route {
-    inbox: Sender<Event>,
+    events: Sender<Event>,
     /// Agents that were sent orders of the attempt.
     agents: Vec<Arc<str>>,
 }
@@ -90,13 +90,13 @@
     }
 
     /// Opens links to all agents that the settings name, and closes the others.
-    pub(crate) fn want(&self, settings: &Snapshot) {
-        let mut wanted: BTreeMap<Arc<str>, ()> = BTreeMap::new();
-        wanted.extend(settings.endpoints.values().map(|endpoint| (endpoint.agent.clone(), ())));
+    pub(crate) fn set_agents(&self, settings: &Snapshot) {
+        let mut agents: BTreeMap<Arc<str>, ()> = BTreeMap::new();
+        agents.extend(settings.endpoints.values().map(|endpoint| (endpoint.agent.clone(), ())));
         let mut state = self.state();
-        state.links.retain(|agent, _| wanted.contains_key(agent));
-        for agent in wanted.into_keys() {
-            let open = || Link { task: task::spawn(self.clone().keep(agent.clone())), orders: None };
+        state.links.retain(|agent, _| agents.contains_key(agent));
+        for agent in agents.into_keys() {
+            let open = || Link { task: task::spawn(self.clone().maintain(agent.clone())), orders: None };
             state.links.entry(agent.clone()).or_insert_with(open);
         }
     }
@@ -110,14 +110,14 @@
     }
 
     /// Makes an inbox for an attempt's events.
-    pub(crate) fn route(&self, attempt: Attempt) -> Receiver<Event> {
-        let (inbox, receiver) = async_channel::unbounded();
-        self.state().routes.insert(attempt, Route { inbox, agents: Vec::new() });
+    pub(crate) fn add_route(&self, attempt: Attempt) -> Receiver<Event> {
+        let (events, receiver) = async_channel::unbounded();
+        self.state().routes.insert(attempt, Route { events, agents: Vec::new() });
         receiver
     }
 
     /// Drops the inbox: whatever still arrives for the attempt is late and goes nowhere.
-    pub(crate) fn unroute(&self, attempt: Attempt) {
+    pub(crate) fn remove_route(&self, attempt: Attempt) {
         self.state().routes.remove(&attempt);
     }
 
@@ -128,7 +128,7 @@
         if let Some(route) = state.routes.get_mut(&attempt).filter(|route| !route.agents.contains(agent)) {
             route.agents.push(agent.clone());
         }
-        if orders.len() >= BACKLOG {
+        if orders.len() >= MAX_QUEUED_ORDERS {
             return Err(Unreachable);
         }
         orders.try_send(order).map_err(|_| Unreachable)
@@ -140,27 +140,27 @@
         (state.links.len(), state.links.values().filter(|link| link.orders.is_some()).count())
     }
 
-    async fn keep(self, agent: Arc<str>) {
+    async fn maintain(self, agent: Arc<str>) {
         loop {
             if let Err(error) = self.run(&agent).await {
                 spdlog::debug!("link down: {error}", kv: { agent = &*agent });
             }
-            self.down(&agent);
-            task::sleep(REOPEN).await;
+            self.mark_down(&agent);
+            task::sleep(RECONNECT_DELAY).await;
         }
     }
 
     async fn run(&self, agent: &Arc<str>) -> Result<(), tonic::Status> {
-        let endpoint = Endpoint::from_shared(format!("http://{agent}")).map_err(invalid)?;
-        let endpoint = endpoint.connect_timeout(CONNECT).tcp_nodelay(true);
-        let channel = endpoint.connect().await.map_err(invalid)?;
+        let endpoint = Endpoint::from_shared(format!("http://{agent}")).map_err(unavailable)?;
+        let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).tcp_nodelay(true);
+        let channel = endpoint.connect().await.map_err(unavailable)?;
         let (orders, receiver) = async_channel::unbounded();
-        orders.try_send(Order::Hello { entry: self.0.name.clone() }).map_err(invalid)?;
+        orders.try_send(Order::Hello { entry: self.0.name.clone() }).map_err(unavailable)?;
         let outbound = receiver.map(proto::Order::from);
         let events = AgentClient::new(channel).link(outbound).await?.into_inner();
-        self.up(agent, orders.clone());
+        self.mark_up(agent, orders.clone());
         let heartbeats = async {
-            self.heartbeat(&orders).await;
+            self.send_heartbeats(&orders).await;
             Ok(())
         };
         self.read(agent, events).or(heartbeats).await
@@ -174,14 +174,14 @@
         mut events: tonic::Streaming<proto::Event>,
     ) -> Result<(), tonic::Status> {
         // Worked out anew with each heartbeat, not with each token: it asks for the lock that all share.
-        let mut silence = self.silence();
+        let mut silence_timeout = self.silence_timeout();
         loop {
-            let next = async_std::future::timeout(silence, events.next()).await;
-            let Some(event) = next.map_err(invalid)? else { return Ok(()) };
+            let next = async_std::future::timeout(silence_timeout, events.next()).await;
+            let Some(event) = next.map_err(unavailable)? else { return Ok(()) };
             match Event::try_from(event?) {
                 Ok(Event::Heartbeat(heartbeat)) => {
-                    self.heard(agent, heartbeat);
-                    silence = self.silence();
+                    self.record_heartbeat(agent, heartbeat);
+                    silence_timeout = self.silence_timeout();
                 }
                 Ok(event) => self.deliver(event),
                 Err(error) => spdlog::warn!("event ignored: {error}", kv: { agent = &**agent }),
@@ -189,9 +189,9 @@
         }
     }
 
-    fn heard(&self, agent: &Arc<str>, heartbeat: Heartbeat) {
+    fn record_heartbeat(&self, agent: &Arc<str>, heartbeat: Heartbeat) {
         self.0.current.heard(&format!("agent {agent}").into(), &heartbeat);
-        self.0.control.loads(heartbeat.loads);
+        self.0.control.record_loads(heartbeat.loads);
     }
 
     /// One slow caller must not hold up the link that all share: an inbox that is full is closed,
@@ -200,14 +200,14 @@
         let Some(attempt) = event.attempt() else { return };
         let state = self.state();
         let Some(route) = state.routes.get(&attempt) else { return };
-        if route.inbox.len() >= INBOX || route.inbox.try_send(event).is_err() {
-            route.inbox.close();
+        if route.events.len() >= MAX_QUEUED_EVENTS || route.events.try_send(event).is_err() {
+            route.events.close();
         }
     }
 
-    async fn heartbeat(&self, orders: &Sender<Order>) {
+    async fn send_heartbeats(&self, orders: &Sender<Order>) {
         loop {
-            let interval = self.every();
+            let interval = self.heartbeat_interval();
             let heartbeat = Heartbeat { interval, ..self.0.current.heartbeat() };
             if orders.send(Order::Heartbeat(heartbeat)).await.is_err() {
                 return;
@@ -217,38 +217,41 @@
     }
 
     /// Longest time without any event before a link is taken for dead.
-    fn silence(&self) -> Duration {
-        self.every() * MISSED + SILENCE_GRACE
+    fn silence_timeout(&self) -> Duration {
+        self.heartbeat_interval() * MAX_MISSED_HEARTBEATS + SILENCE_MARGIN
     }
 
     /// Time between heartbeats on each link.
-    fn every(&self) -> Duration {
+    fn heartbeat_interval(&self) -> Duration {
         let links = u32::try_from(self.state().links.len()).unwrap_or(u32::MAX);
-        BEAT_PER_LINK.saturating_mul(links).clamp(BEAT.0, BEAT.1)
+        HEARTBEAT_INTERVAL_PER_LINK
+            .saturating_mul(links)
+            .clamp(HEARTBEAT_INTERVAL_RANGE.0, HEARTBEAT_INTERVAL_RANGE.1)
     }
 
-    fn up(&self, agent: &Arc<str>, orders: Sender<Order>) {
+    fn mark_up(&self, agent: &Arc<str>, orders: Sender<Order>) {
         if let Some(link) = self.state().links.get_mut(agent) {
             link.orders = Some(orders);
         }
-        self.0.control.link(self.fronted(agent), true);
+        self.0.control.set_link_up(self.endpoints_of(agent), true);
     }
 
     /// Tells every attempt that has work behind the link that its work is lost.
-    fn down(&self, agent: &Arc<str>) {
+    fn mark_down(&self, agent: &Arc<str>) {
         let mut state = self.state();
         if let Some(link) = state.links.get_mut(agent) {
             link.orders = None;
         }
-        let lost: Vec<_> = state.routes.iter().filter(|(_, route)| route.agents.contains(agent)).collect();
-        for (attempt, route) in lost {
-            let _ = route.inbox.try_send(Event::Failed { attempt: *attempt, cause: FailureCause::LinkLost });
+        let affected: Vec<_> =
+            state.routes.iter().filter(|(_, route)| route.agents.contains(agent)).collect();
+        for (attempt, route) in affected {
+            let _ = route.events.try_send(Event::Failed { attempt: *attempt, cause: FailureCause::LinkLost });
         }
         drop(state);
-        self.0.control.link(self.fronted(agent), false);
+        self.0.control.set_link_up(self.endpoints_of(agent), false);
     }
 
-    fn fronted(&self, agent: &Arc<str>) -> Vec<Arc<str>> {
+    fn endpoints_of(&self, agent: &Arc<str>) -> Vec<Arc<str>> {
         let settings = self.0.current.get();
         settings
             .endpoints
@@ -259,6 +262,6 @@
     }
 }
 
-fn invalid(error: impl fmt::Display) -> tonic::Status {
+fn unavailable(error: impl fmt::Display) -> tonic::Status {
     tonic::Status::unavailable(error.to_string())
 }
--- a/crates/daemon/src/entry/metrics.rs
+++ b/crates/daemon/src/entry/metrics.rs
@@ -8,7 +8,8 @@
 use crate::agent::counters;
 
 /// Bounds of the latency histograms, seconds.
-const BUCKETS: [f64; 14] = [0.001, 0.002, 0.005, 0.01, 0.02, 0.054, 0.1, 0.2, 0.4, 0.9, 1.5, 3.0, 10.0, 30.0];
+const LATENCY_BUCKETS_SECS: [f64; 14] =
+    [0.001, 0.002, 0.005, 0.01, 0.02, 0.054, 0.1, 0.2, 0.4, 0.9, 1.5, 3.0, 10.0, 30.0];
 
 /// All metrics of one entry.
 #[derive(Debug)]
@@ -22,7 +23,7 @@
     /// Tokens sent to callers.
     pub(crate) tokens: IntCounter,
     first_token: Histogram,
-    gap: Histogram,
+    token_gap: Histogram,
     /// Requests being served.
     pub(crate) running: IntGauge,
 }
@@ -31,7 +32,7 @@
     #[allow(clippy::expect_used, reason = "constant names are valid")]
     pub(crate) fn new() -> Arc<Self> {
         let histogram = |name: &str, help: &str| {
-            let options = HistogramOpts::new(name, help).buckets(BUCKETS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_SECS.to_vec());
             Histogram::with_opts(options).expect("valid metric name")
         };
         let metrics = Self {
@@ -42,7 +43,7 @@
                 .expect("valid"),
             tokens: IntCounter::new("tarragonhill_tokens_total", "Tokens sent to callers.").expect("valid"),
             first_token: histogram("tarragonhill_first_token_seconds", "Time to the first token."),
-            gap: histogram("tarragonhill_token_gap_seconds", "Time between tokens."),
+            token_gap: histogram("tarragonhill_token_gap_seconds", "Time between tokens."),
             running: IntGauge::new("tarragonhill_running", "Requests being served.").expect("valid"),
         };
         metrics.register();
@@ -56,7 +57,7 @@
             Box::new(self.retries.clone()),
             Box::new(self.tokens.clone()),
             Box::new(self.first_token.clone()),
-            Box::new(self.gap.clone()),
+            Box::new(self.token_gap.clone()),
             Box::new(self.running.clone()),
         ];
         for collector in collectors {
@@ -68,7 +69,7 @@
         &self.registry
     }
 
-    pub(crate) fn refuse(&self, code: Code) {
+    pub(crate) fn count_refusal(&self, code: Code) {
         self.refused.with_label_values(&[<&str>::from(code)]).inc();
     }
 
@@ -76,7 +77,7 @@
         self.first_token.observe(took.as_secs_f64());
     }
 
-    pub(crate) fn observe_gap(&self, took: Duration) {
-        self.gap.observe(took.as_secs_f64());
+    pub(crate) fn observe_token_gap(&self, took: Duration) {
+        self.token_gap.observe(took.as_secs_f64());
     }
 }
--- a/crates/daemon/src/entry/once.rs
+++ b/crates/daemon/src/entry/once.rs
@@ -14,38 +14,38 @@
 use crate::entry::{
     context::Context,
     request::Call,
-    stages::{self, Ticket},
+    stages::{self, RequestInfo},
 };
 
 /// Times that a lost answer is settled before the caller is told.
-const TRIES: u32 = 5;
+const MAX_TRIES: u32 = 5;
 /// Pause between them.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Serves a call that may not be repeated.
 pub(crate) async fn call(
     context: &Context,
-    ticket: &Ticket,
+    info: &RequestInfo,
     call: Call,
     idempotency_key: &Arc<str>,
 ) -> Result<Outbound, Refusal> {
     stages::check_service(context, &call.service)?;
-    let record = Entry {
+    let record = RecordHandle {
         context,
-        key: idempotency::row_key(&ticket.key.customer, idempotency_key),
+        row_key: idempotency::row_key(&info.key.customer, idempotency_key),
         digest: call_digest(&call),
-        token: ticket.request,
+        token: info.request,
     };
-    match record.begin().await? {
-        Begun::Ours(version) => dispatch(context, ticket, &call, &record, version).await,
-        Begun::Replay(reply) => Ok(reply.outbound()),
+    match record.claim().await? {
+        Claim::Claimed(version) => dispatch(context, info, &call, &record, version).await,
+        Claim::Replay(reply) => Ok(reply.outbound()),
     }
 }
 
 /// What became of the attempt to begin a call.
-enum Begun {
+enum Claim {
     /// The record is ours and stands at this version: dispatch, once.
-    Ours(u64),
+    Claimed(u64),
     /// The call was made before; this is its answer.
     Replay(stages::Reply),
 }
@@ -58,55 +58,55 @@
 
 async fn dispatch(
     context: &Context,
-    ticket: &Ticket,
+    info: &RequestInfo,
     call: &Call,
-    record: &Entry<'_>,
+    record: &RecordHandle<'_>,
     version: u64,
 ) -> Result<Outbound, Refusal> {
-    let _charge = match stages::charge_call(context, ticket).await {
+    let _charge = match stages::charge_call(context, info).await {
         Ok(charge) => charge,
         Err(refusal) => {
             record.finish(version, State::Abandoned).await;
             return Err(refusal);
         }
     };
-    match stages::dispatch(context, ticket, call, 1, &BTreeSet::new()).await {
+    match stages::dispatch(context, info, call, 1, &BTreeSet::new()).await {
         Ok((_, reply)) => {
             let body = String::from_utf8_lossy(&reply.body).into_owned();
             record.finish(version, State::Answered { status: reply.status, body }).await;
             context.metrics.answered.with_label_values(&["call_once"]).inc();
             Ok(reply.outbound())
         }
-        Err(failure) => Err(record.failed(version, failure).await),
+        Err(failure) => Err(record.record_failure(version, failure).await),
     }
 }
 
 /// The record of one call, as seen by one request.
-struct Entry<'a> {
+struct RecordHandle<'a> {
     context: &'a Context,
-    key: String,
+    row_key: String,
     digest: Arc<str>,
     token: Request,
 }
 
-impl Entry<'_> {
+impl RecordHandle<'_> {
     /// Inserts the record, unless another stands there.
-    async fn begin(&self) -> Result<Begun, Refusal> {
-        for _ in 0..TRIES {
+    async fn claim(&self) -> Result<Claim, Refusal> {
+        for _ in 0..MAX_TRIES {
             let found = self.read().await?;
             let expected = match found {
                 None => 0,
                 Some((version, record)) => match idempotency::decide(&record, &self.digest, self.token) {
-                    Action::Dispatch => return Ok(Begun::Ours(version)),
+                    Action::Dispatch => return Ok(Claim::Claimed(version)),
                     Action::Replay { status, body } => {
-                        return Ok(Begun::Replay(stages::Reply { status, body: body.into_bytes() }));
+                        return Ok(Claim::Replay(stages::Reply { status, body: body.into_bytes() }));
                     }
                     Action::Refuse(refusal) => return Err(refusal),
                     Action::Reclaim => version,
                 },
             };
             if let Some(version) = self.insert(expected).await? {
-                return Ok(Begun::Ours(version));
+                return Ok(Claim::Claimed(version));
             }
         }
         Err(unavailable("the record is contended"))
@@ -117,22 +117,22 @@
         match self.write(State::Started, expected).await {
             Ok(version) => Ok(Some(version)),
             Err(TableError::Conflict(_)) => Ok(None),
-            Err(TableError::Unavailable(why)) => Err(unavailable(&why)),
-            Err(TableError::Unknown(_)) => self.settle(expected).await,
+            Err(TableError::Unavailable(reason)) => Err(unavailable(&reason)),
+            Err(TableError::Unknown(_)) => self.resolve_insert(expected).await,
         }
     }
 
     /// Finds out whether a write whose answer was lost has landed, and makes sure that it cannot
     /// land later: the tombstone takes the place that the write expects to be free.
-    async fn settle(&self, expected: u64) -> Result<Option<u64>, Refusal> {
-        for _ in 0..TRIES {
+    async fn resolve_insert(&self, expected: u64) -> Result<Option<u64>, Refusal> {
+        for _ in 0..MAX_TRIES {
             let Ok(found) = self.read().await else {
-                self.context.clock.sleep(PAUSE).await;
+                self.context.clock.sleep(RETRY_DELAY).await;
                 continue;
             };
-            let standing = found.as_ref().filter(|(version, _)| *version != expected);
-            match idempotency::resolve_write(standing.map(|(_, record)| record), self.token) {
-                WriteOutcome::Applied => return Ok(standing.map(|(version, _)| *version)),
+            let other = found.as_ref().filter(|(version, _)| *version != expected);
+            match idempotency::resolve_write(other.map(|(_, record)| record), self.token) {
+                WriteOutcome::Applied => return Ok(other.map(|(version, _)| *version)),
                 WriteOutcome::Conflict => return Ok(None),
                 WriteOutcome::Missing => {
                     if self.write(State::Abandoned, expected).await.is_ok() {
@@ -140,14 +140,15 @@
                     }
                 }
             }
-            self.context.clock.sleep(PAUSE).await;
+            self.context.clock.sleep(RETRY_DELAY).await;
         }
         // Nothing was dispatched and nothing will be: whoever finds the record standing refuses.
         Err(unavailable("it cannot be told whether the record was written"))
     }
 
     async fn read(&self) -> Result<Option<(u64, Record)>, Refusal> {
-        let row = self.context.table.get(&self.key).await.map_err(|error| unavailable(&error.to_string()))?;
+        let row =
+            self.context.table.get(&self.row_key).await.map_err(|error| unavailable(&error.to_string()))?;
         let Some(Row { version, value: Some(value), .. }) = row else { return Ok(None) };
         let record = serde_json::from_value(value).map_err(|error| unavailable(&error.to_string()))?;
         Ok(Some((version, record)))
@@ -155,7 +156,7 @@
 
     async fn write(&self, state: State, expected: u64) -> Result<u64, TableError> {
         let record = Record { digest: self.digest.clone(), token: self.token, state };
-        let write = Write { key: self.key.clone(), expected: Some(expected), value: Some(json!(record)) };
+        let write = Write { key: self.row_key.clone(), expected: Some(expected), value: Some(json!(record)) };
         self.context.table.commit(&Transaction { writes: vec![write] }).await
     }
 
@@ -164,30 +165,30 @@
     /// Guards against a write that was taken for lost and lands late, when the next request under
     /// this key has long run: unconditional, it would make the call look as if it had not.
     async fn finish(&self, version: u64, state: State) {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_TRIES {
             match self.write(state.clone(), version).await {
                 // Nobody else writes over a started record: an earlier try of ours has landed.
                 Ok(_) | Err(TableError::Conflict(_)) => return,
                 Err(error) => {
-                    spdlog::warn!("outcome not recorded yet: {error}", kv: { row = self.key.as_str() })
+                    spdlog::warn!("outcome not recorded yet: {error}", kv: { row = self.row_key.as_str() })
                 }
             }
-            self.context.clock.sleep(PAUSE).await;
+            self.context.clock.sleep(RETRY_DELAY).await;
         }
-        spdlog::error!("outcome not recorded", kv: { row = self.key.as_str() });
+        spdlog::error!("outcome not recorded", kv: { row = self.row_key.as_str() });
     }
 
-    async fn failed(&self, version: u64, failure: stages::Failure) -> Refusal {
+    async fn record_failure(&self, version: u64, failure: stages::Failure) -> Refusal {
         match failure {
             // The agent confirmed, or nothing was sent: the call never runs, so it may be made again.
             stages::Failure::Refused(refusal) if refusal.not_run => {
                 self.finish(version, State::Abandoned).await;
                 refusal
             }
-            stages::Failure::Full { retry_after, .. } => {
+            stages::Failure::Overloaded { retry_after, .. } => {
                 self.finish(version, State::Abandoned).await;
                 let refusal = Refusal::not_run(Code::Overloaded, "the service has no room");
-                refusal.with_retry_after(retry_after.max(PAUSE))
+                refusal.with_retry_after(retry_after.max(RETRY_DELAY))
             }
             stages::Failure::Refused(_) | stages::Failure::Broken { .. } => {
                 self.finish(version, State::Unknown).await;
@@ -197,7 +198,7 @@
     }
 }
 
-fn unavailable(why: &str) -> Refusal {
-    let message = format!("the record of the call cannot be written, so it was not sent: {why}");
+fn unavailable(reason: &str) -> Refusal {
+    let message = format!("the record of the call cannot be written, so it was not sent: {reason}");
     Refusal::not_run(Code::RecordUnavailable, message).with_retry_after(Duration::from_secs(1))
 }
--- a/crates/daemon/src/entry/operators.rs
+++ b/crates/daemon/src/entry/operators.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     admin,
-    entry::context::{Context, new_request},
+    entry::context::{Context, new_request_id},
 };
 
 #[derive(Deserialize)]
@@ -29,13 +29,13 @@
     if let Some(outbound) = admin::common(&inbound, context.metrics.registry(), ready) {
         return outbound;
     }
-    if !may_operate(&context, &inbound) {
+    if !is_authorized(&context, &inbound) {
         return error(401, "bad_token", "operators must show their token");
     }
     let body = inbound.body.as_deref().unwrap_or_default();
     match (inbound.method.as_str(), inbound.path.as_str()) {
-        ("GET", "/dump") => dump(&context).await,
-        ("GET", "/settings") => show(&context),
+        ("GET", "/dump") => dump_state(&context).await,
+        ("GET", "/settings") => show_settings(&context),
         ("POST", "/plan") => plan(&context, body),
         ("POST", "/confirm") => confirm(&context, body).await,
         ("GET", path) => match path.strip_prefix("/plans/") {
@@ -46,19 +46,19 @@
     }
 }
 
-fn may_operate(context: &Context, inbound: &Inbound) -> bool {
+fn is_authorized(context: &Context, inbound: &Inbound) -> bool {
     let Some(token) = &context.operator_token else { return true };
-    let shown = inbound.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
+    let presented = inbound.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
     // Compared by digest, so that timing tells nothing about the token.
     let digest = |text: &str| tarragonhill_core::settings::digest(text);
-    shown.is_some_and(|shown| digest(shown) == digest(token))
+    presented.is_some_and(|presented| digest(presented) == digest(token))
 }
 
 fn error(status: u16, code: &str, message: &str) -> Outbound {
     Outbound::json(status, &json!({"error": {"code": code, "message": message}}))
 }
 
-async fn dump(context: &Context) -> Outbound {
+async fn dump_state(context: &Context) -> Outbound {
     let mut state = context.control.dump().await;
     let heartbeat = context.current.heartbeat();
     let (links, up) = context.links.count();
@@ -70,7 +70,7 @@
     Outbound::json(200, &state)
 }
 
-fn show(context: &Context) -> Outbound {
+fn show_settings(context: &Context) -> Outbound {
     let settings = context.current.get();
     let customers: Value = settings.customers.iter().map(|(name, c)| (name.to_string(), json!(c))).collect();
     let endpoints: Value = settings.endpoints.iter().map(|(name, e)| (name.to_string(), json!(e))).collect();
@@ -84,39 +84,40 @@
 fn plan(context: &Context, body: &[u8]) -> Outbound {
     let intent: Intent = match serde_json::from_slice(body) {
         Ok(intent) => intent,
-        Err(why) => return error(400, "bad_intent", &why.to_string()),
+        Err(err) => return error(400, "bad_intent", &err.to_string()),
     };
     let settings = context.current.get();
     let running = context.running.load(std::sync::atomic::Ordering::Relaxed);
-    match Plan::build(new_request().to_string(), &settings, intent, |_| running) {
+    match Plan::build(new_request_id().to_string(), &settings, intent, |_| running) {
         Ok(plan) => Outbound::json(200, &json!({"digest": plan.digest(), "plan": plan})),
-        Err(why) => error(400, "bad_intent", &why.to_string()),
+        Err(err) => error(400, "bad_intent", &err.to_string()),
     }
 }
 
 async fn confirm(context: &Context, body: &[u8]) -> Outbound {
     let Confirm { plan, digest } = match serde_json::from_slice(body) {
         Ok(confirm) => confirm,
-        Err(why) => return error(400, "bad_confirm", &why.to_string()),
+        Err(err) => return error(400, "bad_confirm", &err.to_string()),
     };
     // The newest settings decide; an entry that cannot read them cannot accept a change.
-    if let Err(why) = context.current.refresh(&*context.table).await {
-        return error(503, "table_unavailable", &format!("{why}; nothing was changed"));
+    if let Err(err) = context.current.refresh(&*context.table).await {
+        return error(503, "table_unavailable", &format!("{err}; nothing was changed"));
     }
     let settings = context.current.get();
     let rows = match plan.confirm(&settings, &digest) {
         Ok(rows) => rows,
-        Err(why @ PlanError::VersionConflict { .. }) => return error(409, "moved", &why.to_string()),
-        Err(why) => return error(400, "bad_confirm", &why.to_string()),
+        Err(err @ PlanError::VersionConflict { .. }) => return error(409, "moved", &err.to_string()),
+        Err(err) => return error(400, "bad_confirm", &err.to_string()),
     };
     let version_row = match context.table.get(VERSION_ROW).await {
         Ok(row) => row,
-        Err(why) => return error(503, "table_unavailable", &format!("{why}; nothing was changed")),
+        Err(err) => return error(503, "table_unavailable", &format!("{err}; nothing was changed")),
     };
-    let stands = version_row.as_ref().and_then(|row| row.value.as_ref()).and_then(Value::as_u64).unwrap_or(0);
-    if stands != plan.version {
-        let why = PlanError::VersionConflict { planned: plan.version, current: stands };
-        return error(409, "moved", &why.to_string());
+    let current_version =
+        version_row.as_ref().and_then(|row| row.value.as_ref()).and_then(Value::as_u64).unwrap_or(0);
+    if current_version != plan.version {
+        let err = PlanError::VersionConflict { planned: plan.version, current: current_version };
+        return error(409, "moved", &err.to_string());
     }
     let expected = version_row.map_or(0, |row| row.version);
     commit(context, &plan, &rows, expected).await
@@ -141,23 +142,23 @@
     let record = json!({"outcome": "confirmed", "version": plan.version + 1});
     writes.push(Write { key: plan.record_key(), expected: Some(0), value: Some(record) });
     match context.table.commit(&Transaction { writes }).await {
-        Ok(_) => accepted(context, plan.version + 1).await,
+        Ok(_) => confirmed(context, plan.version + 1).await,
         Err(TableError::Conflict(_)) => {
-            let why = "the settings moved on while the plan was confirmed; nothing was changed by this confirm, \
+            let err = "the settings moved on while the plan was confirmed; nothing was changed by this confirm, \
                        unless it was confirmed before: ask for the plan's id";
-            error(409, "moved", why)
+            error(409, "moved", err)
         }
-        Err(TableError::Unavailable(why)) => {
-            error(503, "table_unavailable", &format!("{why}; nothing was changed"))
+        Err(TableError::Unavailable(err)) => {
+            error(503, "table_unavailable", &format!("{err}; nothing was changed"))
         }
-        Err(TableError::Unknown(why)) => {
-            let message = format!("{why}; ask for plan {} to learn whether it took effect", plan.id);
+        Err(TableError::Unknown(err)) => {
+            let message = format!("{err}; ask for plan {} to learn whether it took effect", plan.id);
             error(504, "unknown", &message)
         }
     }
 }
 
-async fn accepted(context: &Context, version: u64) -> Outbound {
+async fn confirmed(context: &Context, version: u64) -> Outbound {
     // In force here before the operator hears of it; everywhere else by heartbeats and polls.
     let _ = context.current.refresh(&*context.table).await;
     context.current.nudge();
@@ -170,9 +171,11 @@
     let key = format!("{}{id}", tarragonhill_core::plan::PREFIX);
     for _ in 0..2 {
         match context.table.get(&key).await {
-            Ok(Some(row)) => return Outbound::json(200, &outcome(context, row.value.unwrap_or_default())),
+            Ok(Some(row)) => {
+                return Outbound::json(200, &outcome(context, row.value.unwrap_or_default()));
+            }
             Ok(None) => {}
-            Err(why) => return error(503, "table_unavailable", &why.to_string()),
+            Err(err) => return error(503, "table_unavailable", &err.to_string()),
         }
         let tombstone = json!({"outcome": "not_confirmed"});
         let write = Write { key: key.clone(), expected: Some(0), value: Some(tombstone) };
--- a/crates/daemon/src/entry/owner.rs
+++ b/crates/daemon/src/entry/owner.rs
@@ -27,16 +27,16 @@
 
 use crate::{
     entry::{
-        control::{Command, Control, Failure, Identity, Placed, Placement},
+        control::{Command, Control, Identity, PlacementRequest, RetryRequest, Target},
         peers::Peers,
     },
     settings::Current,
 };
 
 /// Longest sleep of the thread while nothing is due.
-const IDLE: Duration = Duration::from_secs(1);
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 /// Weight of the newest measurement of prefill speed.
-const NEWEST: f64 = 0.1;
+const SPEED_WEIGHT: f64 = 0.1;
 
 /// What the thread works with.
 pub(crate) struct Setup {
@@ -46,7 +46,7 @@
     pub(crate) current: Arc<Current>,
     pub(crate) peers: Peers,
     /// Tells that the table should be looked at at once.
-    pub(crate) look: Sender<()>,
+    pub(crate) home_refresh: Sender<()>,
 }
 
 /// Starts the thread and gives a handle on it.
@@ -60,7 +60,7 @@
 
 /// State of the thread.
 struct Owner {
-    me: Arc<str>,
+    own_name: Arc<str>,
     /// Name under which homes lend to this process; a restarted process is another borrower.
     borrower: Arc<str>,
     zone: Arc<str>,
@@ -68,86 +68,86 @@
     clock: Clock,
     current: Arc<Current>,
     peers: Peers,
-    look: Sender<()>,
+    home_refresh: Sender<()>,
     control: Control,
     rng: ChaCha8Rng,
     home: Home,
     members: usize,
     limiters: BTreeMap<Arc<str>, Limiter>,
     /// Fixed parts of the rates, for the policy that splits them.
-    splits: BTreeMap<Arc<str>, Bucket>,
+    rate_splits: BTreeMap<Arc<str>, Bucket>,
     /// When each limiter wants attention; holds each customer at most once.
     timers: BTreeSet<(Time, Arc<str>)>,
-    timer_of: BTreeMap<Arc<str>, Time>,
-    waiting: BTreeMap<Request, Sender<Admission>>,
+    timer_by_customer: BTreeMap<Arc<str>, Time>,
+    pending: BTreeMap<Request, Sender<Admission>>,
     view: View,
     budget: Budget,
     quarantine: quarantine::Tracker,
     /// Prompt tokens a second.
-    speed: Option<f64>,
+    prefill_speed: Option<f64>,
 }
 
 impl Owner {
     fn new(setup: Setup, control: Control) -> Self {
-        let Setup { identity, policy, clock, current, peers, look } = setup;
+        let Setup { identity, policy, clock, current, peers, home_refresh } = setup;
         let Identity { name, peer, zone, incarnation } = identity;
         let address: Arc<str> = peer.to_string().into();
         Self {
             borrower: format!("{name}#{incarnation:x}").into(),
             home: Home::new(name.clone(), incarnation, address, zone.clone()),
-            me: name,
+            own_name: name,
             zone,
             policy,
             clock,
             current,
             peers,
-            look,
+            home_refresh,
             control,
             rng: ChaCha8Rng::seed_from_u64(incarnation),
             members: 1,
             limiters: BTreeMap::new(),
-            splits: BTreeMap::new(),
+            rate_splits: BTreeMap::new(),
             timers: BTreeSet::new(),
-            timer_of: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            timer_by_customer: BTreeMap::new(),
+            pending: BTreeMap::new(),
             view: View::default(),
             budget: Budget::default(),
             quarantine: quarantine::Tracker::default(),
-            speed: None,
+            prefill_speed: None,
         }
     }
 
     /// Carries commands out until it is told to stop.
     pub(super) async fn run(mut self, commands: Receiver<Command>) {
         loop {
-            let sleep = self.next_timer();
+            let sleep = self.time_to_next_timer();
             match async_std::future::timeout(sleep, commands.recv()).await {
                 Ok(Ok(Command::Stop)) | Ok(Err(_)) => return,
                 Ok(Ok(command)) => self.handle(command),
                 Err(_) => {}
             }
-            self.fire();
+            self.run_due_timers();
         }
     }
 
-    fn next_timer(&self) -> Duration {
+    fn time_to_next_timer(&self) -> Duration {
         let now = self.clock.now();
-        self.timers.first().map_or(IDLE, |(at, _)| at.since(now).max(Duration::from_millis(1)))
+        self.timers.first().map_or(MAX_SLEEP, |(at, _)| at.since(now).max(Duration::from_millis(1)))
     }
 
-    fn fire(&mut self) {
+    fn run_due_timers(&mut self) {
         let now = self.clock.now();
         while let Some((at, customer)) = self.timers.first().cloned() {
             if at > now {
                 return;
             }
             self.timers.pop_first();
-            self.timer_of.remove(&customer);
+            self.timer_by_customer.remove(&customer);
             if let Some(limiter) = self.limiters.get_mut(&customer) {
                 let admissions = limiter.expire_waiters(now);
                 self.deliver(admissions);
             }
-            self.pursue(now, &customer);
+            self.request_tokens(now, &customer);
         }
     }
 
@@ -157,40 +157,40 @@
             Command::Settings(snapshot) => self.view.retain(|name| snapshot.endpoints.contains_key(name)),
             Command::Admit(customer, waiter, reply) => self.admit(now, &customer, waiter, reply),
             Command::Refund(customer, tokens) => self.refund(now, &customer, tokens),
-            Command::Forget(customer, request) => self.forget(&customer, request),
-            Command::Place(placement, reply) => {
-                let _ = reply.try_send(self.place(now, &placement));
+            Command::CancelAdmission(customer, request) => self.cancel_admission(&customer, request),
+            Command::Place(request, reply) => {
+                let _ = reply.try_send(self.place(now, &request));
             }
-            Command::Done(endpoint, attempt) => self.view.remove_sent(&endpoint, attempt),
+            Command::RemoveSent(endpoint, attempt) => self.view.remove_sent(&endpoint, attempt),
             Command::Avoid(endpoint, span) => self.view.record_refusal(now, &endpoint, span),
-            Command::Prefilled(tokens, took) => self.prefilled(tokens, took),
+            Command::RecordPrefill(tokens, took) => self.record_prefill(tokens, took),
             Command::Loads(loads) => loads.into_iter().for_each(|load| self.view.record_load(now, load)),
-            Command::Link(endpoints, up) => self.view.set_link_up(endpoints.into_iter(), up),
-            Command::Earn(customer, endpoint) => self.budget.record_success(&customer, &endpoint),
-            Command::Retry(failure, reply) => {
-                let Failure { customer, endpoint, number, cause } = failure;
+            Command::SetLinkUp(endpoints, up) => self.view.set_link_up(endpoints.into_iter(), up),
+            Command::RecordSuccess(customer, endpoint) => self.budget.record_success(&customer, &endpoint),
+            Command::SpendRetry(request, reply) => {
+                let RetryRequest { customer, endpoint, number, cause } = request;
                 let _ = reply.try_send(self.budget.try_spend(&customer, &endpoint, number, cause));
             }
             Command::CrashStatus(customer, fingerprint, crashed, reply) => {
                 let _ = reply.try_send(self.crash_status(now, &customer, fingerprint, crashed));
             }
-            Command::Clear(customer, fingerprint) => self.quarantine.clear(&customer, fingerprint),
-            Command::PeerRequest(from, ask, reply) => {
-                let _ = reply.try_send(self.answer(now, &from, ask));
+            Command::ClearSuspect(customer, fingerprint) => self.quarantine.clear(&customer, fingerprint),
+            Command::AnswerPeer(from, request, reply) => {
+                let _ = reply.try_send(self.answer_peer(now, &from, request));
             }
-            Command::Lent(customer, serial, grant) => self.lent(now, &customer, serial, grant),
-            Command::Renewal(reply) => {
+            Command::LoanReply(customer, serial, grant) => self.receive_loan(now, &customer, serial, grant),
+            Command::PrepareRenewal(reply) => {
                 let _ = reply.try_send(self.home.prepare_renewal());
             }
-            Command::Renewed(began) => self.home.extend_lease(began),
-            Command::Rows(rows, reply) => {
+            Command::ExtendLease(began) => self.home.extend_lease(began),
+            Command::ObserveRows(rows, reply) => {
                 rows.iter().for_each(|row| self.observe(now, row));
                 let live = self.home.live_members(now);
                 self.members = live.len().max(1);
                 let _ = reply.try_send(live);
             }
-            Command::Gone(hosts) => self.home.set_removed_hosts(hosts),
-            Command::Writes(reply) => {
+            Command::SetRemovedHosts(hosts) => self.home.set_removed_hosts(hosts),
+            Command::PlanWrites(reply) => {
                 let settings = self.current.get();
                 let _ = reply.try_send(self.home.plan_writes(now, &settings));
             }
@@ -204,7 +204,7 @@
             }
             Command::Leave => {
                 self.home.leave();
-                self.look();
+                self.request_home_refresh();
             }
             Command::HasLeft(reply) => {
                 let _ = reply.try_send(self.home.is_empty());
@@ -221,19 +221,19 @@
             let _ = reply.try_send(self.admit_from_split(now, customer, &waiter));
             return;
         }
-        self.waiting.insert(waiter.request, reply);
+        self.pending.insert(waiter.request, reply);
         let admission = self.limiter(now, customer).admit(now, waiter);
         self.deliver(admission);
-        self.pursue(now, customer);
+        self.request_tokens(now, customer);
     }
 
     fn admit_from_split(&mut self, now: Time, customer: &Arc<str>, waiter: &Waiter) -> Admission {
-        let refused = Admission::OverRate(waiter.request, IDLE);
+        let refused = Admission::OverRate(waiter.request, MAX_SLEEP);
         let settings = self.current.get();
         let Some(terms) = settings.customers.get(customer) else { return refused };
         let parts = self.members as u64;
-        let fresh = || Bucket::full(terms.rate / parts, terms.burst / parts, now);
-        let bucket = self.splits.entry(customer.clone()).or_insert_with(fresh);
+        let new_bucket = || Bucket::full(terms.rate / parts, terms.burst / parts, now);
+        let bucket = self.rate_splits.entry(customer.clone()).or_insert_with(new_bucket);
         bucket.take(now, waiter.cost).map_or(refused, |_| Admission::Admitted(waiter.request))
     }
 
@@ -246,11 +246,11 @@
             return;
         }
         self.limiter(now, customer).refund(now, tokens);
-        self.pursue(now, customer);
+        self.request_tokens(now, customer);
     }
 
-    fn forget(&mut self, customer: &Arc<str>, request: Request) {
-        self.waiting.remove(&request);
+    fn cancel_admission(&mut self, customer: &Arc<str>, request: Request) {
+        self.pending.remove(&request);
         if let Some(limiter) = self.limiters.get_mut(customer) {
             limiter.cancel(request);
         }
@@ -263,54 +263,54 @@
                 | Admission::OverRate(request, _)
                 | Admission::HomeUnreachable(request) => *request,
             };
-            if let Some(reply) = self.waiting.remove(&request) {
+            if let Some(reply) = self.pending.remove(&request) {
                 let _ = reply.try_send(admission);
             }
         }
     }
 
     /// Asks the customer's home for tokens if that makes sense, and sets the next timer.
-    fn pursue(&mut self, now: Time, customer: &Arc<str>) {
+    fn request_tokens(&mut self, now: Time, customer: &Arc<str>) {
         let Some(limiter) = self.limiters.get_mut(customer) else { return };
         if let Some(loan) = limiter.request_tokens(now) {
             let serial = loan.serial;
-            let ask = PeerRequest::Borrow { customer: customer.clone(), loan };
-            self.borrow(now, customer, serial, ask);
+            let request = PeerRequest::Borrow { customer: customer.clone(), loan };
+            self.borrow(now, customer, serial, request);
         }
         self.reset_timer(now, customer);
     }
 
-    fn borrow(&mut self, now: Time, customer: &Arc<str>, serial: u64, ask: PeerRequest) {
-        let Some(owner) = self.home.owner(customer) else {
-            self.look();
-            return self.settle(now, customer, serial, None);
+    fn borrow(&mut self, now: Time, customer: &Arc<str>, serial: u64, request: PeerRequest) {
+        let Some(home_entry) = self.home.owner(customer) else {
+            self.request_home_refresh();
+            return self.apply_grant(now, customer, serial, None);
         };
-        if owner == self.me {
+        if home_entry == self.own_name {
             let borrower = self.borrower.clone();
-            let answer = self.answer(now, &borrower, ask);
+            let answer = self.answer_peer(now, &borrower, request);
             let grant = if let PeerReply::Lent(grant) = answer { Some(grant) } else { None };
-            return self.settle(now, customer, serial, grant);
+            return self.apply_grant(now, customer, serial, grant);
         }
-        match self.home.address(&owner) {
+        match self.home.address(&home_entry) {
             Some(address) => {
-                self.peers.borrow(self.control.clone(), address, self.borrower.clone(), serial, ask)
+                self.peers.borrow(self.control.clone(), address, self.borrower.clone(), serial, request)
             }
             None => {
-                self.look();
-                self.settle(now, customer, serial, None);
+                self.request_home_refresh();
+                self.apply_grant(now, customer, serial, None);
             }
         }
     }
 
-    fn lent(&mut self, now: Time, customer: &Arc<str>, serial: u64, grant: Option<Grant>) {
+    fn receive_loan(&mut self, now: Time, customer: &Arc<str>, serial: u64, grant: Option<Grant>) {
         if grant.is_none() {
-            self.look();
+            self.request_home_refresh();
         }
-        self.settle(now, customer, serial, grant);
-        self.pursue(now, customer);
+        self.apply_grant(now, customer, serial, grant);
+        self.request_tokens(now, customer);
     }
 
-    fn settle(&mut self, now: Time, customer: &Arc<str>, serial: u64, grant: Option<Grant>) {
+    fn apply_grant(&mut self, now: Time, customer: &Arc<str>, serial: u64, grant: Option<Grant>) {
         let Some(limiter) = self.limiters.get_mut(customer) else { return };
         let admissions = match grant {
             Some(grant) => limiter.receive_grant(now, serial, grant),
@@ -323,7 +323,7 @@
     }
 
     fn reset_timer(&mut self, now: Time, customer: &Arc<str>) {
-        if let Some(at) = self.timer_of.remove(customer) {
+        if let Some(at) = self.timer_by_customer.remove(customer) {
             self.timers.remove(&(at, customer.clone()));
         }
         let Some(limiter) = self.limiters.get(customer) else { return };
@@ -333,37 +333,40 @@
         }
         if let Some(at) = limiter.next_wakeup() {
             self.timers.insert((at, customer.clone()));
-            self.timer_of.insert(customer.clone(), at);
+            self.timer_by_customer.insert(customer.clone(), at);
         }
     }
 
-    fn place(&mut self, now: Time, placement: &Placement) -> Option<Placed> {
+    fn place(&mut self, now: Time, request: &PlacementRequest) -> Option<Target> {
         let settings = self.current.get();
         let search = Search {
             policy: self.policy,
             zone: &self.zone,
-            candidates: settings.serving(&placement.serves, placement.role),
-            need: placement.need,
-            attempt: placement.attempt,
-            tried: &placement.tried,
+            candidates: settings.serving(&request.serves, request.role),
+            need: request.need,
+            attempt: request.attempt,
+            tried: &request.tried,
         };
         let endpoint = self.view.place(now, &mut self.rng, &search)?;
         let agent = settings.endpoints.get(&endpoint)?.agent.clone();
-        let prefill = match (placement.need, self.speed) {
+        let prefill_time = match (request.need, self.prefill_speed) {
             (Need::Prefill(tokens, _), Some(speed)) => Duration::from_secs_f64(f64::from(tokens) / speed),
             _ => Duration::ZERO,
         };
-        Some(Placed { endpoint, agent, prefill })
+        Some(Target { endpoint, agent, prefill_time })
     }
 
-    fn prefilled(&mut self, tokens: u32, took: Duration) {
-        let speed = f64::from(tokens.max(1)) / took.as_secs_f64().max(1e-6);
-        self.speed = Some(self.speed.map_or(speed, |old| old * (1.0 - NEWEST) + speed * NEWEST));
+    fn record_prefill(&mut self, tokens: u32, took: Duration) {
+        let prefill_speed = f64::from(tokens.max(1)) / took.as_secs_f64().max(1e-6);
+        self.prefill_speed = Some(
+            self.prefill_speed
+                .map_or(prefill_speed, |old| old * (1.0 - SPEED_WEIGHT) + prefill_speed * SPEED_WEIGHT),
+        );
     }
 
     /// Has the rows of homes read now.
-    fn look(&self) {
-        let _ = self.look.try_send(());
+    fn request_home_refresh(&self) {
+        let _ = self.home_refresh.try_send(());
     }
 
     fn crash_status(
@@ -379,8 +382,8 @@
         }
     }
 
-    fn answer(&mut self, now: Time, from: &Arc<str>, ask: PeerRequest) -> PeerReply {
-        match ask {
+    fn answer_peer(&mut self, now: Time, from: &Arc<str>, request: PeerRequest) -> PeerReply {
+        match request {
             PeerRequest::Borrow { customer, loan } => {
                 let settings = self.current.get();
                 match self.home.lend(now, &settings, &customer, from, loan) {
@@ -396,7 +399,7 @@
                 PeerReply::CrashStatus(self.crash_status(now, &customer, fingerprint, crashed))
             }
             PeerRequest::RefreshShards => {
-                self.look();
+                self.request_home_refresh();
                 PeerReply::Acknowledged
             }
             PeerRequest::Renew { incarnation } => {
@@ -427,13 +430,13 @@
         let (endpoints, sent) = self.view.size();
         json!({
             "role": "entry",
-            "name": self.me,
+            "name": self.own_name,
             "incarnation": format!("{:x}", self.control.incarnation()),
             "lease_renewed": self.home.has_lease(now),
             "members": self.home.live_members(now),
             "homes": self.home.owned_shard_count(),
             "tokens_in_hand": limiters,
-            "waiting_for_tokens": self.waiting.len(),
+            "waiting_for_tokens": self.pending.len(),
             "endpoints_seen": endpoints,
             "sends_not_reported": sent,
             "retry_budgets_below_most": self.budget.len(),
--- a/crates/daemon/src/entry/peers.rs
+++ b/crates/daemon/src/entry/peers.rs
@@ -34,14 +34,14 @@
 
     /// Asks the peer at `address`; `None` if it does not answer in time. A client that timed out
     /// is dropped, since its connection may have gone silent for good.
-    pub(crate) async fn ask(
+    pub(crate) async fn exchange(
         &self,
         address: &Arc<str>,
         from: &Arc<str>,
-        ask: PeerRequest,
+        request: PeerRequest,
     ) -> Option<PeerReply> {
         let mut client = self.client(address)?;
-        let request = proto::PeerRequest { entry: from.to_string(), body: Some(ask.into()) };
+        let request = proto::PeerRequest { entry: from.to_string(), body: Some(request.into()) };
         let reply = async_std::future::timeout(TIMEOUT, client.exchange(request)).await;
         let Ok(Ok(reply)) = reply else {
             self.0.lock().unwrap_or_else(PoisonError::into_inner).remove(address);
@@ -57,17 +57,17 @@
         address: Arc<str>,
         from: Arc<str>,
         serial: u64,
-        ask: PeerRequest,
+        request: PeerRequest,
     ) {
         let peers = self.clone();
         task::spawn(async move {
-            let PeerRequest::Borrow { customer, .. } = &ask else { return };
+            let PeerRequest::Borrow { customer, .. } = &request else { return };
             let customer = customer.clone();
-            let grant = match peers.ask(&address, &from, ask).await {
+            let grant = match peers.exchange(&address, &from, request).await {
                 Some(PeerReply::Lent(grant)) => Some(grant),
                 _ => None,
             };
-            control.lent(&customer, serial, grant);
+            control.receive_loan(&customer, serial, grant);
         });
     }
 }
--- a/crates/daemon/src/entry/request.rs
+++ b/crates/daemon/src/entry/request.rs
@@ -13,7 +13,7 @@
 /// Answer length when the caller names none, tokens.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 /// Longest idempotency key, bytes.
-const LONGEST_KEY: usize = 256;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
 /// Body of a completion request.
 #[derive(Clone, Debug, Deserialize)]
@@ -43,13 +43,14 @@
 
     /// Reads and checks a body.
     pub(crate) fn parse(body: &[u8]) -> Result<Self, Refusal> {
-        let bad = |message: String| Refusal::not_run(Code::BadRequest, message);
-        let completion: Self = serde_json::from_slice(body).map_err(|error| bad(error.to_string()))?;
+        let bad_request = |message: String| Refusal::not_run(Code::BadRequest, message);
+        let completion: Self =
+            serde_json::from_slice(body).map_err(|error| bad_request(error.to_string()))?;
         if completion.prompt.is_empty() {
-            return Err(bad("prompt is empty".into()));
+            return Err(bad_request("prompt is empty".into()));
         }
         if completion.max_tokens == 0 {
-            return Err(bad("max_tokens must be at least 1".into()));
+            return Err(bad_request("max_tokens must be at least 1".into()));
         }
         Ok(completion)
     }
@@ -69,15 +70,16 @@
 impl Call {
     /// Reads and checks a call of the path `rest` behind the services' prefix.
     pub(crate) fn parse(inbound: &Inbound, rest: &str, body: Vec<u8>) -> Result<Self, Refusal> {
-        let bad = |message: &str| Refusal::not_run(Code::BadRequest, message);
+        let bad_request = |message: &str| Refusal::not_run(Code::BadRequest, message);
         let (service, path) = rest.split_once('/').unwrap_or((rest, ""));
         let idempotency_key = inbound.header("idempotency-key").map(Arc::<str>::from);
-        if idempotency_key.as_ref().is_some_and(|key| key.is_empty() || key.len() > LONGEST_KEY) {
-            return Err(bad("idempotency-key must have 1 to 256 bytes"));
+        if idempotency_key.as_ref().is_some_and(|key| key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES)
+        {
+            return Err(bad_request("idempotency-key must have 1 to 256 bytes"));
         }
-        let reads = matches!(inbound.method.as_str(), "GET" | "HEAD");
-        if !reads && idempotency_key.is_none() {
-            return Err(bad("calls that change something need an idempotency-key"));
+        let is_read_only = matches!(inbound.method.as_str(), "GET" | "HEAD");
+        if !is_read_only && idempotency_key.is_none() {
+            return Err(bad_request("calls that change something need an idempotency-key"));
         }
         let query = if inbound.query.is_empty() { String::new() } else { format!("?{}", inbound.query) };
         Ok(Self {
@@ -85,7 +87,7 @@
             method: inbound.method.as_str().into(),
             path: format!("/{path}{query}").into(),
             body,
-            idempotency_key: idempotency_key.filter(|_| !reads),
+            idempotency_key: idempotency_key.filter(|_| !is_read_only),
         })
     }
 }
--- a/crates/daemon/src/entry/stages.rs
+++ b/crates/daemon/src/entry/stages.rs
@@ -26,17 +26,17 @@
 pub(crate) use plain::{Reply, call, check_service, dispatch};
 
 /// Tokens that a call of a plain service is charged.
-const CALL_COST: u64 = 1;
+const CALL_COST_TOKENS: u64 = 1;
 
 /// One request and who sent it.
 #[derive(Clone, Debug)]
-pub(crate) struct Ticket {
+pub(crate) struct RequestInfo {
     pub(crate) request: Request,
     /// The key it came with, in force when it came.
     pub(crate) key: Arc<Key>,
     pub(crate) arrived: Time,
     /// Since when it waits for its next token: since it came, or since its last attempt broke off.
-    pub(crate) waiting: Time,
+    pub(crate) waiting_since: Time,
     /// Whether it was running when an endpoint crashed, here or at another entry.
     pub(crate) suspect: bool,
 }
@@ -55,21 +55,21 @@
 
 /// Checks the key again before a costly stage: it may have been withdrawn meanwhile, and a process
 /// that was paused may wake up in the middle of a request.
-fn recheck(context: &Context, ticket: &Ticket) -> Result<(), Refusal> {
+fn recheck(context: &Context, info: &RequestInfo) -> Result<(), Refusal> {
     context.check_serving()?;
-    match context.current.get().is_withdrawn(&ticket.key.id) {
+    match context.current.get().is_withdrawn(&info.key.id) {
         true => Err(bad_key("the key was withdrawn")),
         false => Ok(()),
     }
 }
 
 /// Whether a running answer must be cut because its key was withdrawn.
-fn is_cut(context: &Context, ticket: &Ticket) -> bool {
+fn is_cut(context: &Context, info: &RequestInfo) -> bool {
     let settings = context.current.get();
-    if !settings.is_withdrawn(&ticket.key.id) {
+    if !settings.is_withdrawn(&info.key.id) {
         return false;
     }
-    let key = settings.keys.values().find(|key| key.id == ticket.key.id);
+    let key = settings.keys.values().find(|key| key.id == info.key.id);
     key.is_none_or(|key| key.running == WithdrawalPolicy::Cut)
 }
 
@@ -88,12 +88,12 @@
 
 impl Charge<'_> {
     /// Notes that costly work begins: if nothing more is heard, all of the charge is used.
-    fn begin(&mut self) {
+    fn mark_used(&mut self) {
         self.unused = 0;
     }
 
     /// Notes at the end how much of the charge was not used.
-    fn settle(&mut self, unused: u64) {
+    fn set_unused(&mut self, unused: u64) {
         self.unused = unused;
     }
 }
@@ -103,14 +103,14 @@
         match self.admitted {
             true => self.context.control.refund(&self.customer, self.unused),
             // The caller left while it waited for tokens.
-            false => self.context.control.forget(&self.customer, self.request),
+            false => self.context.control.cancel_admission(&self.customer, self.request),
         }
     }
 }
 
 /// Charges the request to its customer, waiting a bounded time for tokens.
-async fn admit<'a>(context: &'a Context, ticket: &Ticket, cost: u64) -> Result<Charge<'a>, Refusal> {
-    let customer = ticket.key.customer.clone();
+async fn admit<'a>(context: &'a Context, info: &RequestInfo, cost: u64) -> Result<Charge<'a>, Refusal> {
+    let customer = info.key.customer.clone();
     let settings = context.current.get();
     let burst = settings.customers.get(&customer).map_or(0, |terms| terms.burst);
     if cost > burst {
@@ -118,15 +118,10 @@
             format!("the request costs {cost} tokens and can never fit the customer's burst of {burst}");
         return Err(Refusal::not_run(Code::OverRate, message));
     }
-    let mut charge = Charge {
-        context,
-        customer: customer.clone(),
-        request: ticket.request,
-        unused: cost,
-        admitted: false,
-    };
+    let mut charge =
+        Charge { context, customer: customer.clone(), request: info.request, unused: cost, admitted: false };
     let deadline = context.clock.now().plus(context.rate_wait);
-    let waiter = Waiter { request: ticket.request, cost, deadline };
+    let waiter = Waiter { request: info.request, cost, deadline };
     match context.control.admit(&customer, waiter).await {
         Some(Admission::Admitted(_)) => {
             charge.admitted = true;
@@ -144,8 +139,8 @@
 }
 
 /// Charges a call of a plain service that may not be repeated.
-pub(crate) async fn charge_call<'a>(context: &'a Context, ticket: &Ticket) -> Result<Charge<'a>, Refusal> {
-    let mut charge = admit(context, ticket, CALL_COST).await?;
-    charge.begin();
+pub(crate) async fn charge_call<'a>(context: &'a Context, info: &RequestInfo) -> Result<Charge<'a>, Refusal> {
+    let mut charge = admit(context, info, CALL_COST_TOKENS).await?;
+    charge.mark_used();
     Ok(charge)
 }
--- a/crates/daemon/src/entry/stages/attempt.rs
+++ b/crates/daemon/src/entry/stages/attempt.rs
@@ -16,7 +16,7 @@
     /// The request is refused for good.
     Refused(Refusal),
     /// An endpoint has no room; nothing has run there.
-    Full {
+    Overloaded {
         /// The endpoint.
         endpoint: Arc<str>,
         /// When asking again makes sense.
@@ -42,7 +42,7 @@
 pub(super) struct Dispatch<'a> {
     context: &'a Context,
     attempt: Attempt,
-    inbox: Receiver<Event>,
+    events: Receiver<Event>,
     /// Agents that may still run something of the attempt.
     agents: BTreeSet<Arc<str>>,
     /// Endpoints counted as busy with the attempt.
@@ -51,8 +51,8 @@
 
 impl<'a> Dispatch<'a> {
     pub(super) fn new(context: &'a Context, attempt: Attempt) -> Self {
-        let inbox = context.links.route(attempt);
-        Self { context, attempt, inbox, agents: BTreeSet::new(), endpoints: Vec::new() }
+        let events = context.links.add_route(attempt);
+        Self { context, attempt, events, agents: BTreeSet::new(), endpoints: Vec::new() }
     }
 
     pub(super) fn attempt(&self) -> Attempt {
@@ -74,30 +74,30 @@
 
     /// The next event of the attempt, `limit` at most. `endpoint` is blamed for whatever goes
     /// wrong meanwhile.
-    pub(super) async fn next(&self, endpoint: &Arc<str>, limit: Duration) -> Result<Event, Failure> {
+    pub(super) async fn next_event(&self, endpoint: &Arc<str>, limit: Duration) -> Result<Event, Failure> {
         let broken = |cause| Failure::Broken { endpoint: endpoint.clone(), cause };
-        let next = async_std::future::timeout(limit, self.inbox.recv()).await;
-        match next {
+        let event = async_std::future::timeout(limit, self.events.recv()).await;
+        match event {
             Err(_) => Err(broken(FailureCause::Stalled)),
             Ok(Err(_)) => Err(broken(FailureCause::LinkLost)),
             Ok(Ok(Event::Failed { cause, .. })) => Err(broken(cause)),
             Ok(Ok(Event::Refused { code, not_run, retry_after, .. })) => {
-                Err(refused(endpoint, code, not_run, retry_after))
+                Err(refusal_failure(endpoint, code, not_run, retry_after))
             }
             Ok(Ok(event)) => Ok(event),
         }
     }
 
     /// Notes that nothing of the attempt runs any more.
-    pub(super) fn ended(&mut self) {
+    pub(super) fn mark_ended(&mut self) {
         self.agents.clear();
     }
 }
 
-fn refused(endpoint: &Arc<str>, code: Code, not_run: bool, retry_after: Duration) -> Failure {
+fn refusal_failure(endpoint: &Arc<str>, code: Code, not_run: bool, retry_after: Duration) -> Failure {
     match code {
         Code::Overloaded | Code::NoEndpoint if not_run => {
-            Failure::Full { endpoint: endpoint.clone(), retry_after }
+            Failure::Overloaded { endpoint: endpoint.clone(), retry_after }
         }
         Code::BadKey => {
             Failure::Refused(Refusal { not_run, ..Refusal::may_have_run(code, "the key was withdrawn") })
@@ -111,12 +111,12 @@
 
 impl Drop for Dispatch<'_> {
     fn drop(&mut self) {
-        self.context.links.unroute(self.attempt);
+        self.context.links.remove_route(self.attempt);
         for agent in &self.agents {
             let _ = self.context.links.send(agent, self.attempt, Order::Cancel(self.attempt));
         }
         for endpoint in &self.endpoints {
-            self.context.control.done(endpoint, self.attempt);
+            self.context.control.remove_sent(endpoint, self.attempt);
         }
     }
 }
--- a/crates/daemon/src/entry/stages/complete.rs
+++ b/crates/daemon/src/entry/stages/complete.rs
@@ -7,7 +7,7 @@
 use tarragonhill_http::server::{Outbound, Watch};
 
 use super::{
-    Charge, Ticket, admit,
+    Charge, RequestInfo, admit,
     answer::Output,
     attempt::{Dispatch, Failure},
     decode::decode,
@@ -17,27 +17,27 @@
 use crate::entry::{context::Context, control, request::Completion};
 
 /// Other endpoints tried when one has no room. Not a retry: nothing has run.
-const ALTERNATIVES: usize = 2;
+const MAX_ALTERNATIVES: usize = 2;
 /// An endpoint that had no room is avoided for this long.
-const AVOID: Duration = Duration::from_millis(50);
+const MIN_AVOID_TIME: Duration = Duration::from_millis(50);
 
 /// Serves a completion.
 pub(crate) async fn complete(
     context: &Arc<Context>,
-    ticket: Ticket,
+    info: RequestInfo,
     completion: Completion,
     watch: Watch,
 ) -> Result<Outbound, Refusal> {
     check_size(context, &completion)?;
     if completion.stream {
-        return stream(context.clone(), ticket, completion, watch).await;
+        return stream(context.clone(), info, completion, watch).await;
     }
-    let output = Output::whole(context, ticket.request, ticket.arrived);
-    let gone = async {
+    let output = Output::buffered(context, info.request, info.arrived);
+    let disconnected = async {
         watch.gone().await;
         Err(Some(caller_left()))
     };
-    let outbound = serve(context, ticket, &completion, output).or(gone).await;
+    let outbound = serve(context, info, &completion, output).or(disconnected).await;
     match outbound {
         Ok(Some(outbound)) => Ok(outbound),
         Ok(None) | Err(None) => Err(Refusal::may_have_run(Code::Broken, "the answer was lost")),
@@ -48,27 +48,27 @@
 /// Streams in a task of its own; completes with the head once there is a first token.
 async fn stream(
     context: Arc<Context>,
-    ticket: Ticket,
+    info: RequestInfo,
     completion: Completion,
     watch: Watch,
 ) -> Result<Outbound, Refusal> {
-    let (head, heads) = async_channel::bounded(1);
-    let (refusals, refused) = async_channel::bounded(1);
-    let inside = context.enter();
+    let (head_sender, head_receiver) = async_channel::bounded(1);
+    let (refusal_sender, refusal_receiver) = async_channel::bounded(1);
+    let guard = context.track_running();
     async_std::task::spawn(async move {
-        let _inside = inside;
-        let output = Output::stream(&context, ticket.request, ticket.arrived, head);
-        let gone = async {
+        let _guard = guard;
+        let output = Output::stream(&context, info.request, info.arrived, head_sender);
+        let disconnected = async {
             watch.gone().await;
             Err(Some(caller_left()))
         };
-        if let Err(Some(refusal)) = serve(&context, ticket, &completion, output).or(gone).await {
-            let _ = refusals.try_send(refusal);
+        if let Err(Some(refusal)) = serve(&context, info, &completion, output).or(disconnected).await {
+            let _ = refusal_sender.try_send(refusal);
         }
     });
-    let head = async { heads.recv().await.map_err(|_| None) };
+    let head = async { head_receiver.recv().await.map_err(|_| None) };
     let refusal = async {
-        match refused.recv().await {
+        match refusal_receiver.recv().await {
             Ok(refusal) => Err(Some(refusal)),
             Err(_) => std::future::pending().await,
         }
@@ -77,7 +77,7 @@
         Ok(outbound) => Ok(outbound),
         Err(Some(refusal)) => Err(refusal),
         // The head's sender is dropped with the task, just before the refusal is sent.
-        Err(None) => refused.recv().await.map_or_else(|_| Err(caller_left()), Err),
+        Err(None) => refusal_receiver.recv().await.map_or_else(|_| Err(caller_left()), Err),
     }
 }
 
@@ -87,57 +87,58 @@
 
 fn check_size(context: &Context, completion: &Completion) -> Result<(), Refusal> {
     let settings = context.current.get();
-    let Some(most) = settings.context(&completion.model) else {
+    let Some(context_length) = settings.context(&completion.model) else {
         let message = format!("no endpoint serves model {:?}", completion.model);
         return Err(Refusal::not_run(Code::UnknownModel, message));
     };
     let wanted = u64::from(completion.prompt_tokens()) + u64::from(completion.max_tokens);
-    if wanted > u64::from(most) {
-        let message = format!("prompt and max_tokens are {wanted} tokens together; the model takes {most}");
+    if wanted > u64::from(context_length) {
+        let message =
+            format!("prompt and max_tokens are {wanted} tokens together; the model takes {context_length}");
         return Err(Refusal::not_run(Code::PromptTooLong, message));
     }
     Ok(())
 }
 
-type Served = Result<Option<Outbound>, Option<Refusal>>;
+type ServeResult = Result<Option<Outbound>, Option<Refusal>>;
 
 async fn serve(
     context: &Arc<Context>,
-    mut ticket: Ticket,
+    mut info: RequestInfo,
     completion: &Completion,
     mut output: Output<'_>,
-) -> Served {
+) -> ServeResult {
     let cost = u64::from(completion.prompt_tokens()) + u64::from(completion.max_tokens);
-    let mark = fingerprint(&ticket.key.customer, completion.prompt.as_bytes());
-    let admitted = match quarantined(context, &mut ticket, mark).await {
-        Ok(()) => admit(context, &ticket, cost).await,
+    let fingerprint = fingerprint(&info.key.customer, completion.prompt.as_bytes());
+    let admitted = match check_quarantine(context, &mut info, fingerprint).await {
+        Ok(()) => admit(context, &info, cost).await,
         Err(refusal) => Err(refusal),
     };
     let mut charge = match admitted {
         Ok(charge) => charge,
-        Err(refusal) => return Err(output.break_off(refusal).await),
+        Err(refusal) => return Err(output.abort(refusal).await),
     };
-    let ended = attempts(context, &mut ticket, completion, mark, &mut charge, &mut output).await;
-    charge.settle(unused(cost, completion, &output, &ended));
+    let ended = run_attempts(context, &mut info, completion, fingerprint, &mut charge, &mut output).await;
+    charge.set_unused(unused(cost, completion, &output, &ended));
     drop(charge);
     match ended {
         Ok(endpoint) => {
-            note_answer(context, &ticket, &endpoint, output.next());
-            if ticket.suspect {
-                context.control.clear(&ticket.key.customer, mark);
+            record_answer(context, &info, &endpoint, output.next_index());
+            if info.suspect {
+                context.control.clear_suspect(&info.key.customer, fingerprint);
             }
             output.finish().await.map_err(|_| Some(caller_left()))
         }
-        Err(refusal) => Err(output.break_off(refusal).await),
+        Err(refusal) => Err(output.abort(refusal).await),
     }
 }
 
-fn note_answer(context: &Context, ticket: &Ticket, endpoint: &Arc<str>, tokens: u32) {
-    context.control.earn(&ticket.key.customer, endpoint);
+fn record_answer(context: &Context, info: &RequestInfo, endpoint: &Arc<str>, tokens: u32) {
+    context.control.record_success(&info.key.customer, endpoint);
     context.metrics.answered.with_label_values(&["completion"]).inc();
-    let request = ticket.request.to_string();
+    let request = info.request.to_string();
     spdlog::info!("answered", kv: {
-        request = request.as_str(), customer = &*ticket.key.customer, endpoint = &**endpoint, tokens
+        request = request.as_str(), customer = &*info.key.customer, endpoint = &**endpoint, tokens
     });
 }
 
@@ -146,13 +147,17 @@
     if ended.as_ref().is_err_and(|refusal| refusal.not_run) {
         return cost;
     }
-    cost.saturating_sub(u64::from(completion.prompt_tokens()) + u64::from(output.next()))
+    cost.saturating_sub(u64::from(completion.prompt_tokens()) + u64::from(output.next_index()))
 }
 
 /// Refuses a request that has crashed too many endpoints, and marks one that was seen at a crash.
-async fn quarantined(context: &Context, ticket: &mut Ticket, mark: u64) -> Result<(), Refusal> {
-    let status = context.control.crash_status(&ticket.key.customer, mark, false).await;
-    ticket.suspect = status.is_suspect();
+async fn check_quarantine(
+    context: &Context,
+    info: &mut RequestInfo,
+    fingerprint: u64,
+) -> Result<(), Refusal> {
+    let status = context.control.crash_status(&info.key.customer, fingerprint, false).await;
+    info.suspect = status.is_suspect();
     if status.quarantined.is_zero() {
         return Ok(());
     }
@@ -162,56 +167,56 @@
 
 /// What the attempts of one request have come to so far.
 #[derive(Default)]
-struct Tries {
+struct AttemptHistory {
     /// Attempts made.
-    number: u32,
+    attempts: u32,
     /// Attempts that broke off.
-    broken: u32,
+    failures: u32,
     /// Endpoints that had no room.
-    full: usize,
+    overloaded: usize,
     /// Whether anything has run.
-    ran: bool,
+    has_run: bool,
     /// Endpoints not to be asked again.
     tried: BTreeSet<Arc<str>>,
 }
 
 /// Tries until an attempt ends with a whole answer; returns the endpoint that finished it.
-async fn attempts(
+async fn run_attempts(
     context: &Arc<Context>,
-    ticket: &mut Ticket,
+    info: &mut RequestInfo,
     completion: &Completion,
-    mark: u64,
+    fingerprint: u64,
     charge: &mut Charge<'_>,
     output: &mut Output<'_>,
 ) -> Result<Arc<str>, Refusal> {
-    let mut tries = Tries::default();
+    let mut history = AttemptHistory::default();
     loop {
-        tries.number += 1;
-        let attempt = Attempt { request: ticket.request, number: tries.number };
+        history.attempts += 1;
+        let attempt = Attempt { request: info.request, number: history.attempts };
         let mut dispatch = Dispatch::new(context, attempt);
-        let ended = one(context, ticket, completion, &mut dispatch, &mut tries, charge, output).await;
+        let ended = run_attempt(context, info, completion, &mut dispatch, &mut history, charge, output).await;
         drop(dispatch);
         match ended {
             Ok(endpoint) => return Ok(endpoint),
             Err(Failure::Refused(refusal)) => {
-                return Err(Refusal { not_run: refusal.not_run && !tries.ran, ..refusal });
+                return Err(Refusal { not_run: refusal.not_run && !history.has_run, ..refusal });
             }
-            Err(Failure::Full { endpoint, retry_after }) => {
-                context.control.avoid(&endpoint, AVOID.max(retry_after.min(context.first_token)));
-                tries.full += 1;
-                let late = super::plan::remaining_timeout(context, ticket).is_zero();
-                if tries.full > ALTERNATIVES || late {
-                    return Err(overloaded(tries.ran, retry_after));
+            Err(Failure::Overloaded { endpoint, retry_after }) => {
+                context.control.avoid(&endpoint, MIN_AVOID_TIME.max(retry_after.min(context.first_token)));
+                history.overloaded += 1;
+                let is_late = super::plan::remaining_timeout(context, info).is_zero();
+                if history.overloaded > MAX_ALTERNATIVES || is_late {
+                    return Err(overloaded(history.has_run, retry_after));
                 }
-                tries.tried.insert(endpoint);
+                history.tried.insert(endpoint);
             }
             Err(Failure::Broken { endpoint, cause }) => {
-                tries.ran = true;
-                tries.broken += 1;
-                may_retry(context, ticket, mark, &endpoint, tries.broken, cause).await?;
+                history.has_run = true;
+                history.failures += 1;
+                may_retry(context, info, fingerprint, &endpoint, history.failures, cause).await?;
                 context.metrics.retries.inc();
-                ticket.waiting = context.clock.now();
-                tries.tried.insert(endpoint);
+                info.waiting_since = context.clock.now();
+                history.tried.insert(endpoint);
             }
         }
     }
@@ -221,47 +226,47 @@
 /// endpoints, and the budgets of its customer and the endpoint must allow it.
 async fn may_retry(
     context: &Arc<Context>,
-    ticket: &mut Ticket,
-    mark: u64,
+    info: &mut RequestInfo,
+    fingerprint: u64,
     endpoint: &Arc<str>,
     number: u32,
     cause: FailureCause,
 ) -> Result<(), Refusal> {
-    let customer = ticket.key.customer.clone();
+    let customer = info.key.customer.clone();
     if cause == FailureCause::Crashed {
-        ticket.suspect = true;
-        if !context.report_crash(&customer, mark).await.quarantined.is_zero() {
+        info.suspect = true;
+        if !context.report_crash(&customer, fingerprint).await.quarantined.is_zero() {
             return Err(broken(cause));
         }
     }
-    let failure = control::Failure { customer, endpoint: endpoint.clone(), number, cause };
-    match context.control.retry(failure).await {
+    let request = control::RetryRequest { customer, endpoint: endpoint.clone(), number, cause };
+    match context.control.try_spend_retry(request).await {
         true => Ok(()),
         false => Err(broken(cause)),
     }
 }
 
 /// One attempt through all costly stages; returns the endpoint that finished it.
-async fn one(
+async fn run_attempt(
     context: &Context,
-    ticket: &Ticket,
+    info: &RequestInfo,
     completion: &Completion,
     dispatch: &mut Dispatch<'_>,
-    tries: &mut Tries,
+    history: &mut AttemptHistory,
     charge: &mut Charge<'_>,
     output: &mut Output<'_>,
 ) -> Result<Arc<str>, Failure> {
-    let planned = plan(context, ticket, completion, dispatch, &tries.tried).await?;
-    charge.begin();
-    let prefilled = prefill(context, ticket, completion, dispatch, &planned, &tries.tried).await?;
-    tries.ran = true;
-    decode(context, ticket, completion, dispatch, &planned, prefilled, output).await?;
-    Ok(planned.decode.endpoint)
+    let decode_plan = plan(context, info, completion, dispatch, &history.tried).await?;
+    charge.mark_used();
+    let prefill_result = prefill(context, info, completion, dispatch, &decode_plan, &history.tried).await?;
+    history.has_run = true;
+    decode(context, info, completion, dispatch, &decode_plan, prefill_result, output).await?;
+    Ok(decode_plan.decode.endpoint)
 }
 
-fn overloaded(ran: bool, retry_after: Duration) -> Refusal {
+fn overloaded(has_run: bool, retry_after: Duration) -> Refusal {
     let message = "no endpoint can meet the target for the first token";
-    let refusal = Refusal { not_run: !ran, ..Refusal::may_have_run(Code::Overloaded, message) };
+    let refusal = Refusal { not_run: !has_run, ..Refusal::may_have_run(Code::Overloaded, message) };
     refusal.with_retry_after(retry_after.max(Duration::from_millis(200)))
 }
 
--- a/crates/daemon/src/entry/stages/decode.rs
+++ b/crates/daemon/src/entry/stages/decode.rs
@@ -8,59 +8,62 @@
 };
 
 use super::{
-    Ticket,
+    RequestInfo,
     answer::{Output, TokenError},
     attempt::{Dispatch, Failure},
     is_cut,
-    plan::{Planned, work},
-    prefill::Prefilled,
+    plan::{DecodePlan, work},
+    prefill::PrefillResult,
 };
 use crate::entry::{context::Context, request::Completion};
 
 /// Longest silence before the first token and between tokens. The agent gives up earlier; this
 /// covers the agent itself.
-const PROGRESS: Duration = Duration::from_secs(4);
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Decodes to the end.
 pub(super) async fn decode(
     context: &Context,
-    ticket: &Ticket,
+    info: &RequestInfo,
     completion: &Completion,
     dispatch: &mut Dispatch<'_>,
-    planned: &Planned,
-    prefilled: Prefilled,
+    decode_plan: &DecodePlan,
+    prefill_result: PrefillResult,
     output: &mut Output<'_>,
 ) -> Result<(), Failure> {
-    super::recheck(context, ticket)?;
-    let endpoint = &planned.decode.endpoint;
+    super::recheck(context, info)?;
+    let endpoint = &decode_plan.decode.endpoint;
     let order = Order::Decode {
-        work: work(context, ticket, completion, dispatch, endpoint),
-        source: prefilled.source,
-        kv: prefilled.kv,
-        from_index: output.next(),
-        held: planned.held,
+        work: work(context, info, completion, dispatch, endpoint),
+        source: prefill_result.source,
+        kv: prefill_result.kv,
+        from_index: output.next_index(),
+        held: decode_plan.held,
     };
-    dispatch.send(&planned.decode.agent, endpoint, order)?;
+    dispatch.send(&decode_plan.decode.agent, endpoint, order)?;
     loop {
-        match dispatch.next(endpoint, PROGRESS).await? {
+        match dispatch.next_event(endpoint, PROGRESS_TIMEOUT).await? {
             Event::Tokens { first_index, texts, .. } => {
-                output.take(first_index, &texts).await.map_err(|error| failure(error, endpoint))?;
-                if is_cut(context, ticket) {
+                output
+                    .accept_tokens(first_index, &texts)
+                    .await
+                    .map_err(|error| token_failure(error, endpoint))?;
+                if is_cut(context, info) {
                     return Err(Refusal::may_have_run(Code::BadKey, "the key was withdrawn").into());
                 }
             }
-            Event::Ended { total, .. } if total == output.next() => {
-                dispatch.ended();
+            Event::Ended { total, .. } if total == output.next_index() => {
+                dispatch.mark_ended();
                 return Ok(());
             }
             // The end came, but not all tokens did: never a shorter whole answer.
-            Event::Ended { .. } => return Err(failure(TokenError::Gap, endpoint)),
+            Event::Ended { .. } => return Err(token_failure(TokenError::Gap, endpoint)),
             _ => {}
         }
     }
 }
 
-fn failure(error: TokenError, endpoint: &std::sync::Arc<str>) -> Failure {
+fn token_failure(error: TokenError, endpoint: &std::sync::Arc<str>) -> Failure {
     match error {
         TokenError::Gap => Failure::Broken { endpoint: endpoint.clone(), cause: FailureCause::Crashed },
         TokenError::CallerGone => Refusal::may_have_run(Code::Cancelled, "the caller left").into(),
--- a/crates/daemon/src/entry/stages/plain.rs
+++ b/crates/daemon/src/entry/stages/plain.rs
@@ -11,17 +11,17 @@
 use tarragonhill_http::server::Outbound;
 
 use super::{
-    CALL_COST, Ticket, admit,
+    CALL_COST_TOKENS, RequestInfo, admit,
     attempt::{Dispatch, Failure},
 };
 use crate::entry::{
     context::Context,
-    control::{self, Placement},
+    control::{self, PlacementRequest},
     request,
 };
 
 /// Longest time for a call, its queueing included.
-const LONGEST: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A plain service's answer.
 #[derive(Clone, Debug)]
@@ -40,30 +40,30 @@
 /// Serves a call that may be repeated.
 pub(crate) async fn call(
     context: &Context,
-    ticket: &Ticket,
+    info: &RequestInfo,
     call: request::Call,
 ) -> Result<Outbound, Refusal> {
     check_service(context, &call.service)?;
-    let mut charge = admit(context, ticket, CALL_COST).await?;
-    charge.begin();
+    let mut charge = admit(context, info, CALL_COST_TOKENS).await?;
+    charge.mark_used();
     let mut tried = BTreeSet::new();
     let mut number = 1;
     loop {
-        match dispatch(context, ticket, &call, number, &tried).await {
+        match dispatch(context, info, &call, number, &tried).await {
             Ok((endpoint, reply)) => {
-                context.control.earn(&ticket.key.customer, &endpoint);
+                context.control.record_success(&info.key.customer, &endpoint);
                 context.metrics.answered.with_label_values(&["call"]).inc();
                 return Ok(reply.outbound());
             }
             Err(Failure::Refused(refusal)) => return Err(refusal),
-            Err(Failure::Full { retry_after, .. }) => {
+            Err(Failure::Overloaded { retry_after, .. }) => {
                 let refusal = Refusal::not_run(Code::Overloaded, "the service has no room");
                 return Err(refusal.with_retry_after(retry_after.max(Duration::from_millis(200))));
             }
             Err(Failure::Broken { endpoint, cause }) => {
-                let customer = ticket.key.customer.clone();
-                let failure = control::Failure { customer, endpoint: endpoint.clone(), number, cause };
-                if !context.control.retry(failure).await {
+                let customer = info.key.customer.clone();
+                let retry = control::RetryRequest { customer, endpoint: endpoint.clone(), number, cause };
+                if !context.control.try_spend_retry(retry).await {
                     return Err(Refusal::may_have_run(Code::Broken, format!("the call broke off ({cause})")));
                 }
                 context.metrics.retries.inc();
@@ -86,31 +86,31 @@
 /// Sends a call once.
 pub(crate) async fn dispatch(
     context: &Context,
-    ticket: &Ticket,
+    info: &RequestInfo,
     call: &request::Call,
     number: u32,
     tried: &BTreeSet<Arc<str>>,
 ) -> Result<(Arc<str>, Reply), Failure> {
-    super::recheck(context, ticket)?;
-    let attempt = Attempt { request: ticket.request, number };
-    let placement = Placement {
+    super::recheck(context, info)?;
+    let attempt = Attempt { request: info.request, number };
+    let request = PlacementRequest {
         attempt,
         serves: call.service.clone(),
         role: Role::Plain,
         need: Need::Plain,
         tried: tried.clone(),
     };
-    let placed = context.control.place(placement).await.ok_or_else(super::plan::no_endpoint)?;
+    let target = context.control.place(request).await.ok_or_else(super::plan::no_endpoint)?;
     let mut dispatch = Dispatch::new(context, attempt);
     let work = Work {
         attempt,
-        endpoint: placed.endpoint.clone(),
-        customer: ticket.key.customer.clone(),
-        key: ticket.key.id.clone(),
+        endpoint: target.endpoint.clone(),
+        customer: info.key.customer.clone(),
+        key: info.key.id.clone(),
         prompt_tokens: 0,
         max_tokens: 0,
-        slack: LONGEST,
-        timeout: LONGEST,
+        slack: CALL_TIMEOUT,
+        timeout: CALL_TIMEOUT,
         suspect: false,
     };
     let order = Order::Call {
@@ -120,11 +120,13 @@
         body: call.body.clone(),
         idempotency_key: call.idempotency_key.clone().unwrap_or_else(|| "".into()),
     };
-    dispatch.send(&placed.agent, &placed.endpoint, order)?;
+    dispatch.send(&target.agent, &target.endpoint, order)?;
     loop {
-        if let Event::Answered { status, body, .. } = dispatch.next(&placed.endpoint, LONGEST).await? {
-            dispatch.ended();
-            return Ok((placed.endpoint, Reply { status, body }));
+        if let Event::Answered { status, body, .. } =
+            dispatch.next_event(&target.endpoint, CALL_TIMEOUT).await?
+        {
+            dispatch.mark_ended();
+            return Ok((target.endpoint, Reply { status, body }));
         }
     }
 }
--- a/crates/daemon/src/entry/stages/plan.rs
+++ b/crates/daemon/src/entry/stages/plan.rs
@@ -10,27 +10,27 @@
 };
 
 use super::{
-    Ticket,
+    RequestInfo,
     attempt::{Dispatch, Failure},
 };
 use crate::entry::{
     context::Context,
-    control::{Placed, Placement},
+    control::{PlacementRequest, Target},
     request::Completion,
 };
 
 /// An agent answers a hold by its deadline; this much later it is taken for stalled.
-const ANSWER_GRACE: Duration = Duration::from_millis(500);
+const HOLD_REPLY_GRACE: Duration = Duration::from_millis(500);
 /// Patience of suspects of a crash. They run one at a time, and most of them are innocent and have
 /// been paid for.
 const SUSPECT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Slack of the baselines, which know no early refusal.
-const NO_SLACK: Duration = Duration::from_secs(30);
+const BASELINE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Where the decode will run.
 #[derive(Clone, Debug)]
-pub(super) struct Planned {
-    pub(super) decode: Placed,
+pub(super) struct DecodePlan {
+    pub(super) decode: Target,
     /// When its place is free.
     pub(super) ready_in: Duration,
     pub(super) held: bool,
@@ -39,7 +39,7 @@
 /// The part of an order that is the same in every stage.
 pub(super) fn work(
     context: &Context,
-    ticket: &Ticket,
+    info: &RequestInfo,
     completion: &Completion,
     dispatch: &Dispatch<'_>,
     endpoint: &Arc<str>,
@@ -47,65 +47,65 @@
     Work {
         attempt: dispatch.attempt(),
         endpoint: endpoint.clone(),
-        customer: ticket.key.customer.clone(),
-        key: ticket.key.id.clone(),
+        customer: info.key.customer.clone(),
+        key: info.key.id.clone(),
         prompt_tokens: completion.prompt_tokens(),
         max_tokens: completion.max_tokens,
-        slack: slack(context, ticket),
-        timeout: remaining_timeout(context, ticket),
-        suspect: ticket.suspect,
+        slack: slack(context, info),
+        timeout: remaining_timeout(context, info),
+        suspect: info.suspect,
     }
 }
 
 /// Time left until the first token is due.
-pub(super) fn slack(context: &Context, ticket: &Ticket) -> Duration {
+pub(super) fn slack(context: &Context, info: &RequestInfo) -> Duration {
     if !context.policy.uses_holds() {
-        return NO_SLACK;
+        return BASELINE_TIMEOUT;
     }
-    context.first_token.saturating_sub(context.clock.now().since(ticket.waiting))
+    context.first_token.saturating_sub(context.clock.now().since(info.waiting_since))
 }
 
 /// Time left until the request is given up.
-pub(super) fn remaining_timeout(context: &Context, ticket: &Ticket) -> Duration {
+pub(super) fn remaining_timeout(context: &Context, info: &RequestInfo) -> Duration {
     if !context.policy.uses_holds() {
-        return NO_SLACK;
+        return BASELINE_TIMEOUT;
     }
-    let all = if ticket.suspect {
+    let timeout = if info.suspect {
         context.first_token_timeout.max(SUSPECT_TIMEOUT)
     } else {
         context.first_token_timeout
     };
-    all.saturating_sub(context.clock.now().since(ticket.waiting))
+    timeout.saturating_sub(context.clock.now().since(info.waiting_since))
 }
 
 /// Chooses a decode endpoint and, by policy, holds its memory.
 pub(super) async fn plan(
     context: &Context,
-    ticket: &Ticket,
+    info: &RequestInfo,
     completion: &Completion,
     dispatch: &mut Dispatch<'_>,
     tried: &BTreeSet<Arc<str>>,
-) -> Result<Planned, Failure> {
-    super::recheck(context, ticket)?;
+) -> Result<DecodePlan, Failure> {
+    super::recheck(context, info)?;
     let need = Need::Decode(pieces(completion.prompt_tokens() + completion.max_tokens));
-    let placement = Placement {
+    let request = PlacementRequest {
         attempt: dispatch.attempt(),
         serves: completion.model.clone(),
         role: Role::Decode,
         need,
         tried: tried.clone(),
     };
-    let placed = context.control.place(placement).await.ok_or_else(no_endpoint)?;
+    let target = context.control.place(request).await.ok_or_else(no_endpoint)?;
     if !context.policy.uses_holds() {
-        return Ok(Planned { decode: placed, ready_in: Duration::ZERO, held: false });
+        return Ok(DecodePlan { decode: target, ready_in: Duration::ZERO, held: false });
     }
-    let work = work(context, ticket, completion, dispatch, &placed.endpoint);
-    let limit = work.timeout + ANSWER_GRACE;
+    let work = work(context, info, completion, dispatch, &target.endpoint);
+    let limit = work.timeout + HOLD_REPLY_GRACE;
     let order = Order::Hold { work, ahead: context.policy.promises_ahead() };
-    dispatch.send(&placed.agent, &placed.endpoint, order)?;
+    dispatch.send(&target.agent, &target.endpoint, order)?;
     loop {
-        if let Event::Held { ready_in, .. } = dispatch.next(&placed.endpoint, limit).await? {
-            return Ok(Planned { decode: placed, ready_in, held: true });
+        if let Event::Held { ready_in, .. } = dispatch.next_event(&target.endpoint, limit).await? {
+            return Ok(DecodePlan { decode: target, ready_in, held: true });
         }
     }
 }
--- a/crates/daemon/src/entry/stages/prefill.rs
+++ b/crates/daemon/src/entry/stages/prefill.rs
@@ -10,26 +10,26 @@
 };
 
 use super::{
-    Ticket,
+    RequestInfo,
     attempt::{Dispatch, Failure},
-    plan::{Planned, no_endpoint, remaining_timeout, work},
+    plan::{DecodePlan, no_endpoint, remaining_timeout, work},
 };
 use crate::entry::{
     context::Context,
-    control::{Placed, Placement},
+    control::{PlacementRequest, Target},
     request::Completion,
 };
 
 /// Longest prefill once its turn has come.
-const LONGEST: Duration = Duration::from_secs(30);
+const PREFILL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Other endpoints asked before one may do it late.
-const ALTERNATIVES: usize = 2;
+const MAX_ALTERNATIVES: usize = 2;
 /// Bytes of a prompt's beginning that engines are likely to have cached.
-const PREFIX: usize = 2_048;
+const AFFINITY_PREFIX_BYTES: usize = 2_048;
 
 /// A prefill result.
 #[derive(Clone, Debug)]
-pub(super) struct Prefilled {
+pub(super) struct PrefillResult {
     pub(super) source: Arc<str>,
     pub(super) kv: Arc<str>,
 }
@@ -39,71 +39,71 @@
 /// may do it late.
 pub(super) async fn prefill(
     context: &Context,
-    ticket: &Ticket,
+    info: &RequestInfo,
     completion: &Completion,
     dispatch: &mut Dispatch<'_>,
-    planned: &Planned,
+    decode_plan: &DecodePlan,
     tried: &BTreeSet<Arc<str>>,
-) -> Result<Prefilled, Failure> {
-    super::recheck(context, ticket)?;
+) -> Result<PrefillResult, Failure> {
+    super::recheck(context, info)?;
     let mut tried = tried.clone();
-    for left in (0..=ALTERNATIVES).rev() {
-        let placed = place(context, completion, dispatch, &tried).await.ok_or_else(no_endpoint)?;
-        let ended = run(context, ticket, completion, dispatch, planned, &placed, left == 0).await;
-        match ended {
-            Err(Failure::Full { endpoint, .. }) if left > 0 => {
-                context.control.done(&endpoint, dispatch.attempt());
+    for remaining in (0..=MAX_ALTERNATIVES).rev() {
+        let target = choose_target(context, completion, dispatch, &tried).await.ok_or_else(no_endpoint)?;
+        let result = run(context, info, completion, dispatch, decode_plan, &target, remaining == 0).await;
+        match result {
+            Err(Failure::Overloaded { endpoint, .. }) if remaining > 0 => {
+                context.control.remove_sent(&endpoint, dispatch.attempt());
                 tried.insert(endpoint);
             }
-            ended => return ended,
+            result => return result,
         }
     }
     Err(no_endpoint())
 }
 
-async fn place(
+async fn choose_target(
     context: &Context,
     completion: &Completion,
     dispatch: &Dispatch<'_>,
     tried: &BTreeSet<Arc<str>>,
-) -> Option<Placed> {
-    let beginning = &completion.prompt.as_bytes()[..completion.prompt.len().min(PREFIX)];
-    let need = Need::Prefill(completion.prompt_tokens(), fingerprint(&completion.model, beginning));
-    let placement = Placement {
+) -> Option<Target> {
+    let prefix = &completion.prompt.as_bytes()[..completion.prompt.len().min(AFFINITY_PREFIX_BYTES)];
+    let need = Need::Prefill(completion.prompt_tokens(), fingerprint(&completion.model, prefix));
+    let request = PlacementRequest {
         attempt: dispatch.attempt(),
         serves: completion.model.clone(),
         role: Role::Prefill,
         need,
         tried: tried.clone(),
     };
-    context.control.place(placement).await
+    context.control.place(request).await
 }
 
 async fn run(
     context: &Context,
-    ticket: &Ticket,
+    info: &RequestInfo,
     completion: &Completion,
     dispatch: &mut Dispatch<'_>,
-    planned: &Planned,
-    placed: &Placed,
+    decode_plan: &DecodePlan,
+    target: &Target,
     may_be_late: bool,
-) -> Result<Prefilled, Failure> {
-    let mut work = work(context, ticket, completion, dispatch, &placed.endpoint);
+) -> Result<PrefillResult, Failure> {
+    let mut work = work(context, info, completion, dispatch, &target.endpoint);
     if !may_be_late {
         work.timeout = work.slack;
     }
     // A result is evicted in under a second: it must not be ready long before its place is.
-    let delay = planned.ready_in.saturating_sub(placed.prefill);
+    let delay = decode_plan.ready_in.saturating_sub(target.prefill_time);
     let order = Order::Prefill { work, prompt: completion.prompt.clone(), delay };
-    dispatch.send(&placed.agent, &placed.endpoint, order)?;
-    let limit = remaining_timeout(context, ticket) + LONGEST;
+    dispatch.send(&target.agent, &target.endpoint, order)?;
+    let limit = remaining_timeout(context, info) + PREFILL_TIMEOUT;
     let began = context.clock.now();
     loop {
-        if let Event::Prefilled { source, kv, .. } = dispatch.next(&placed.endpoint, limit).await? {
+        if let Event::Prefilled { source, kv, .. } = dispatch.next_event(&target.endpoint, limit).await? {
             let took = context.clock.now().since(began).saturating_sub(delay);
-            context.control.prefilled(completion.prompt_tokens(), took);
-            context.control.done(&placed.endpoint, dispatch.attempt());
-            return Ok(Prefilled { source, kv });
+            context.control.record_prefill(completion.prompt_tokens(), took);
+            context.control.remove_sent(&target.endpoint, dispatch.attempt());
+            return Ok(PrefillResult { source, kv });
         }
     }
 }
