--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,4 +1,8 @@
-//! The entry role: faces callers and operators, and homes customers.
+//! The entry process.
+//!
+//! An entry serves callers over HTTP, routes their requests to agents, and answers operators on a
+//! separate admin address. Together the entries enforce the rate limits of customers: each customer
+//! has one entry as its home.
 
 mod caller;
 mod context;
@@ -33,7 +37,7 @@
     settings::Current,
 };
 
-/// How often a shutdown looks whether everything has ended.
+/// Interval at which a shutdown checks for remaining work.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
 /// A running entry.
@@ -48,7 +52,7 @@
 }
 
 impl Entry {
-    /// Starts an entry.
+    /// Binds all addresses and starts the control thread and the tasks of an entry.
     pub async fn start(settings: EntrySettings, clock: Clock) -> Result<Self, StartError> {
         let common = settings.common.clone();
         let caller_server = Server::bind(&common.listen.to_string(), settings.limits).await;
@@ -113,23 +117,24 @@
         Ok(Self { address, admin, context, drain: common.drain, tasks, caller_closer: closer, accept_task })
     }
 
-    /// Where callers reach it.
+    /// Returns the address that serves callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where operators reach it.
+    /// Returns the address that serves operators.
     pub fn admin(&self) -> SocketAddr {
         self.admin
     }
 
-    /// Takes no new requests, lets running ones end, hands its customers over, then stops.
+    /// Shuts down gracefully: refuses new requests, lets running ones end, then hands over the shards
+    /// that this entry owns. Gives up on what remains after the drain time.
     pub async fn shutdown(self) {
         let context = &self.context;
         context.is_shutting_down.store(true, Ordering::Relaxed);
         let began = context.clock.now();
         let has_time_left = || context.clock.now().since(began) < self.drain;
-        // Still accepting: whoever comes now is told to go elsewhere, instead of a broken connection.
+        // Connections are still accepted, so that new requests get a refusal instead of an I/O error.
         while has_time_left() && context.running.load(Ordering::Relaxed) > 0 {
             context.clock.sleep(DRAIN_POLL).await;
         }
@@ -142,7 +147,7 @@
         stop(&self.context, self.tasks).await;
     }
 
-    /// Stops at once, as a crash would.
+    /// Stops immediately without a drain, like a crash.
     pub async fn kill(self) {
         self.accept_task.cancel().await;
         stop(&self.context, self.tasks).await;
--- a/crates/daemon/src/entry/caller.rs
+++ b/crates/daemon/src/entry/caller.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP API: reads requests, writes answers and refusals.
+//! HTTP API for callers: routes requests and writes answers and refusals.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,9 +12,9 @@
     stages::{self, RequestInfo},
 };
 
-/// Prefix of the paths of plain services.
+/// Path prefix of plain services.
 const SERVICE_PREFIX: &str = "/v1/services/";
-/// Answers one request of a caller.
+/// Serves one HTTP request of a caller.
 pub(crate) async fn answer(context: Arc<Context>, mut inbound: Inbound) -> Outbound {
     let request = new_request_id();
     let _guard = context.track_running();
@@ -41,8 +41,8 @@
     };
     let call = Call::parse(inbound, rest, body)?;
     match call.idempotency_key.clone() {
-        // A call that may not be repeated runs to its end though the caller leaves, so that its
-        // outcome is recorded.
+        // Runs in its own task, which continues if the caller disconnects, so that the outcome is
+        // recorded.
         Some(idempotency_key) => {
             let context = context.clone();
             async_std::task::spawn(async move { once::call(&context, &info, call, &idempotency_key).await })
@@ -74,7 +74,7 @@
     }
 }
 
-/// Retry-After knows whole seconds only; the body tells milliseconds.
+/// Rounds up to the whole seconds of a Retry-After header; the body carries milliseconds.
 fn whole_seconds(span: Duration) -> u64 {
     span.as_secs() + u64::from(span.subsec_nanos() > 0)
 }
--- a/crates/daemon/src/entry/context.rs
+++ b/crates/daemon/src/entry/context.rs
@@ -1,4 +1,4 @@
-//! What all tasks of an entry share.
+//! State shared by all tasks of an entry.
 
 use std::{
     collections::BTreeSet,
@@ -20,10 +20,10 @@
     settings::Current,
 };
 
-/// What a refused caller is told to wait while the entry catches up with the settings.
+/// Retry delay sent to callers while the entry cannot serve requests.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The shared parts of one entry.
+/// Shared state of one entry.
 pub(crate) struct Context {
     pub(crate) name: Arc<str>,
     pub(crate) first_token: Duration,
@@ -38,17 +38,16 @@
     pub(crate) peers: Peers,
     pub(crate) table: Arc<dyn Table>,
     pub(crate) metrics: Arc<Metrics>,
-    /// Requests being served.
+    /// Number of requests being served.
     pub(crate) running: AtomicUsize,
-    /// Set once a graceful shutdown has begun.
     pub(crate) is_shutting_down: AtomicBool,
-    /// The other entries that may accept changes of settings.
+    /// Names of the other live entries, each of which may accept changes of settings.
     pub(crate) entries: Mutex<Arc<BTreeSet<Arc<str>>>>,
 }
 
 impl Context {
-    /// Refuses while the entry is leaving or cannot bound the age of its settings. Computed at each
-    /// check, so that a process that was paused notices when it wakes up.
+    /// Refuses while the entry is shutting down or its settings may be stale. Evaluated on every call,
+    /// so that a process that was paused does not continue with stale settings.
     pub(crate) fn check_serving(&self) -> Result<(), Refusal> {
         if self.is_shutting_down.load(Ordering::Relaxed) {
             return Err(Refusal::not_run(Code::ShuttingDown, "this entry is shutting down")
@@ -63,8 +62,8 @@
         Err(Refusal::not_run(Code::SettingsUnconfirmed, message).with_retry_after(UNAVAILABLE_RETRY_AFTER))
     }
 
-    /// Counts a crash here and tells all other entries, so that sending the request again through
-    /// another one does not start the count anew. Crashes are rare, so telling all costs little.
+    /// Records that a request crashed an endpoint, here and on all other entries, so that the count
+    /// applies whichever entry the caller uses next. Returns the status on this entry.
     pub(crate) async fn report_crash(self: &Arc<Self>, customer: &Arc<str>, fingerprint: u64) -> CrashStatus {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
         for address in self.control.addresses((*entries).clone()).await.into_values() {
@@ -75,19 +74,18 @@
         self.control.crash_status(customer, fingerprint, true).await
     }
 
-    /// Sets the other entries known.
     pub(crate) fn set_entries(&self, entries: BTreeSet<Arc<str>>) {
         *self.entries.lock().unwrap_or_else(PoisonError::into_inner) = Arc::new(entries);
     }
 
-    /// Counts a request as running until the guard is dropped.
+    /// Counts a request as running until the returned guard is dropped.
     pub(crate) fn track_running(self: &Arc<Self>) -> RunningGuard {
         self.running.fetch_add(1, Ordering::Relaxed);
         RunningGuard(self.clone())
     }
 }
 
-/// One running request.
+/// Decrements the number of running requests when dropped.
 pub(crate) struct RunningGuard(Arc<Context>);
 
 impl Drop for RunningGuard {
@@ -96,7 +94,7 @@
     }
 }
 
-/// A new request identifier.
+/// Returns a random request identifier.
 pub(crate) fn new_request_id() -> Request {
     Request(rand::random())
 }
--- a/crates/daemon/src/entry/control.rs
+++ b/crates/daemon/src/entry/control.rs
@@ -1,4 +1,4 @@
-//! The handle by which everything else talks to the entry's control thread.
+//! Commands of the entry's control thread, and the handle that sends them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,12 +19,13 @@
 };
 use tarragonhill_table::Row;
 
-/// Who this process is.
+/// Identity of this process.
 #[derive(Clone, Debug)]
 pub(crate) struct Identity {
     pub(crate) name: Arc<str>,
     pub(crate) peer: SocketAddr,
     pub(crate) zone: Arc<str>,
+    /// Random number that distinguishes a restarted process from the previous one.
     pub(crate) incarnation: u64,
 }
 
@@ -34,35 +35,39 @@
     }
 }
 
-/// A question where to send work.
+/// Parameters for the choice of an endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct PlacementRequest {
     pub(crate) attempt: Attempt,
+    /// Model or service that the endpoint must serve.
     pub(crate) serves: Arc<str>,
     pub(crate) role: Role,
     pub(crate) need: Need,
+    /// Endpoints to use only if no other is available.
     pub(crate) tried: BTreeSet<Arc<str>>,
 }
 
-/// Where work goes.
+/// Endpoint chosen for some work.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) endpoint: Arc<str>,
+    /// Address of the endpoint's agent.
     pub(crate) agent: Arc<str>,
-    /// How long its prefill is expected to take once it runs.
+    /// Expected duration of the prefill, without queueing. Zero for other work.
     pub(crate) prefill_time: Duration,
 }
 
-/// A report of what became of an attempt.
+/// Failed attempt for which a retry is requested.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryRequest {
     pub(crate) customer: Arc<str>,
     pub(crate) endpoint: Arc<str>,
+    /// Number of failed attempts of the request so far.
     pub(crate) number: u32,
     pub(crate) cause: FailureCause,
 }
 
-/// What the thread is asked.
+/// Command to the control thread.
 pub(crate) enum Command {
     Settings(Arc<Snapshot>),
     Admit(Arc<str>, Waiter, Sender<Admission>),
@@ -93,7 +98,7 @@
     Stop,
 }
 
-/// Talks to the control thread.
+/// Handle to the control thread. Commands are ignored once the thread has stopped.
 #[derive(Clone)]
 pub(crate) struct Control {
     commands: Sender<Command>,
@@ -101,12 +106,12 @@
 }
 
 impl Control {
-    /// A handle on the thread that reads the other end of `commands`.
+    /// Creates a handle to the thread that receives from the other end of `commands`.
     pub(crate) fn new(commands: Sender<Command>, incarnation: u64) -> Self {
         Self { commands, incarnation }
     }
 
-    /// Random number of this process.
+    /// Returns the incarnation of this process.
     pub(crate) fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -125,7 +130,8 @@
         self.send(Command::Settings(snapshot));
     }
 
-    /// Charges a request to its customer; completes when it may run or is refused.
+    /// Charges a request to its customer. Completes once the request is admitted or refused; returns
+    /// `None` if the thread has stopped.
     pub(crate) async fn admit(&self, customer: &Arc<str>, waiter: Waiter) -> Option<Admission> {
         self.call(|reply| Command::Admit(customer.clone(), waiter, reply)).await
     }
@@ -170,7 +176,7 @@
         self.call(|reply| Command::SpendRetry(request, reply)).await.unwrap_or(false)
     }
 
-    /// Counts a crash, or looks up those counted.
+    /// Returns the crash status of a request, after recording a crash if `crashed` is set.
     pub(crate) async fn crash_status(
         &self,
         customer: &Arc<str>,
@@ -182,17 +188,18 @@
         status.unwrap_or_default()
     }
 
-    /// Clears a suspect that ran to its end.
+    /// Clears the crash count of a suspect request that completed.
     pub(crate) fn clear_suspect(&self, customer: &Arc<str>, fingerprint: u64) {
         self.send(Command::ClearSuspect(customer.clone(), fingerprint));
     }
 
-    /// Answers another entry.
+    /// Answers a request of another entry.
     pub(crate) async fn answer_peer(&self, from: Arc<str>, request: PeerRequest) -> Option<PeerReply> {
         self.call(|reply| Command::AnswerPeer(from, request, reply)).await
     }
 
-    /// Hands a home's reply in; none if it could not be reached or is elsewhere.
+    /// Passes on a home's reply to a loan request; `None` if the home could not be reached or has
+    /// moved.
     pub(crate) fn receive_loan(&self, customer: &Arc<str>, serial: u64, grant: Option<Grant>) {
         self.send(Command::LoanReply(customer.clone(), serial, grant));
     }
@@ -205,7 +212,7 @@
         self.send(Command::ExtendLease(began));
     }
 
-    /// Takes rows of homes and members; returns the members that are live.
+    /// Records lease and shard rows read from the table, and returns the live members.
     pub(crate) async fn observe_rows(&self, rows: Vec<Row>) -> Option<BTreeSet<Arc<str>>> {
         self.call(|reply| Command::ObserveRows(rows, reply)).await
     }
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -1,4 +1,4 @@
-//! Answers other entries, and exchanges heartbeats with them.
+//! Peer service: answers other entries and exchanges heartbeats with them.
 
 use std::{
     ops::Bound,
@@ -16,17 +16,17 @@
 
 use crate::entry::context::Context;
 
-/// Fewest and most time between heartbeats to each other entry.
+/// Minimum and maximum interval between heartbeats to each other entry.
 const HEARTBEAT_INTERVAL_RANGE: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(4));
-/// Time that each entry adds to the interval, so that what beats cost stays the same.
+/// Interval added per entry, so that the total heartbeat rate is independent of their number.
 const HEARTBEAT_INTERVAL_PER_ENTRY: Duration = Duration::from_millis(120);
 
-/// Serves peers.
+/// Serves requests of other entries.
 pub(crate) fn serve(incoming: TcpIncoming, context: Arc<Context>) -> JoinHandle<()> {
     let service = peer_server::PeerServer::new(PeerService(context));
     task::spawn(async move {
         if let Err(error) = Server::builder().add_service(service).serve_with_incoming(incoming).await {
-            spdlog::error!("peer server ended: {error}");
+            spdlog::error!("peer server failed: {error}");
         }
     })
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Beats to all other entries for ever.
+/// Exchanges heartbeats with all other entries until cancelled.
 pub(crate) async fn send_heartbeats(context: Arc<Context>) {
     loop {
         let entries = context.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
@@ -62,7 +62,7 @@
                     .clamp(HEARTBEAT_INTERVAL_RANGE.0, HEARTBEAT_INTERVAL_RANGE.1),
             )
             .await;
-        // An exchange tells both sides, so one of each pair begins it.
+        // An exchange carries both heartbeats, so only the entry with the lower name starts it.
         let later_entries = entries.range::<str, _>((Bound::Excluded(&*context.name), Bound::Unbounded));
         let addresses = context.control.addresses(later_entries.cloned().collect()).await;
         for (name, address) in addresses {
--- a/crates/daemon/src/entry/homes.rs
+++ b/crates/daemon/src/entry/homes.rs
@@ -1,4 +1,6 @@
-//! Keeps the entry's lease and its homes in the table.
+//! Maintains the entry's lease and shard ownership in the table.
+//!
+//! The decisions are made by [`Home`] on the control thread; this module reads and writes the rows.
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,17 +15,18 @@
 
 use crate::entry::context::Context;
 
-/// How often the lease is renewed and ownership looked over: four times in a lease.
+/// Interval between rounds; a quarter of the lease duration.
 const ROUND_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Least time between rounds, however many borrowers miss a home: the table is shared.
+/// Minimum time between rounds, to limit the load on the table when refreshes are requested often.
 const MIN_ROUND_GAP: Duration = Duration::from_millis(20);
-/// Writes under way at once. One after another, the shards offered first would be without a home
-/// until the last is written.
+/// Concurrent table writes. With sequential writes, the shards offered first would have no home
+/// until the last write.
 const MAX_CONCURRENT_WRITES: usize = 16;
-/// Prefix of all rows of this module.
+/// Key prefix of lease and shard rows.
 const PREFIX: &str = "home/";
 
-/// Runs rounds for ever, one at once whenever `looks` says so.
+/// Reads rows, renews the lease and writes shard changes until cancelled. A message on `refreshes`
+/// starts the next round early.
 pub(crate) async fn maintain(context: Arc<Context>, hosts: Option<SocketAddr>, refreshes: Receiver<()>) {
     let hosts = hosts.map(HttpHosts::new);
     let mut read_version = 0;
@@ -31,16 +34,17 @@
         if let Some(hosts) = &hosts {
             observe_hosts(&context, hosts).await;
         }
-        // The first reading comes before the first write, whose version it tells.
+        // Read before the first write: writes are conditional on the row versions read here.
         match observe(&context, read_version).await {
             Ok(version) => read_version = version,
-            Err(error) => spdlog::debug!("homes not read: {error}"),
+            Err(error) => spdlog::debug!("cannot read lease and shard rows: {error}"),
         }
         renew(&context).await;
         if write_changes(&context).await {
             read_version = observe(&context, read_version).await.unwrap_or(read_version);
         }
-        // A handover keeps customers without a home only until its recipient has looked.
+        // An entry that offers a shard to this one requests a refresh, so that the shard's customers
+        // are without a home only briefly.
         let refresh_requested = async {
             let _ = refreshes.recv().await;
         };
@@ -64,8 +68,8 @@
     context.control.set_removed_hosts(removed);
 }
 
-/// Renews the lease by the table, or else by the word of all successors: one of them is the only
-/// entry that could follow this one without the table's knowing.
+/// Renews the lease in the table. If that fails, asks all successors to grant the renewal instead;
+/// a successor that has granted it takes over no shard of this entry meanwhile.
 async fn renew(context: &Context) {
     let Some(renewal_write) = context.control.prepare_renewal().await else { return };
     let began = context.clock.now();
@@ -91,7 +95,7 @@
     }
 }
 
-/// Carries out what the decisions want written; true if anything was.
+/// Executes the planned writes; returns whether there were any.
 async fn write_changes(context: &Arc<Context>) -> bool {
     let writes = context.control.plan_writes().await;
     let any = !writes.is_empty();
@@ -112,14 +116,14 @@
     any
 }
 
-/// Carries one write out; the entry that a shard was offered to by it, if one was.
+/// Executes one write. Returns the entry that it offers a shard to, if it does and succeeds.
 async fn write_one(context: Arc<Context>, write: home::Write) -> Option<Arc<str>> {
     let recipient = Home::offer_recipient(&write);
-    // The outcome shows when the rows are read again, also when the answer is lost.
+    // Errors are not retried here: the next read of the rows shows whether the write was applied.
     match commit(&*context.table, write).await {
         Ok(_) => recipient,
         Err(error) => {
-            spdlog::debug!("home not written: {error}");
+            spdlog::debug!("cannot write lease or shard row: {error}");
             None
         }
     }
--- a/crates/daemon/src/entry/links.rs
+++ b/crates/daemon/src/entry/links.rs
@@ -1,4 +1,4 @@
-//! The entry's side of links: one stream to each agent, kept open and watched.
+//! Links to agents: one bidirectional stream per agent, reopened after each failure.
 
 use std::{
     collections::BTreeMap,
@@ -20,26 +20,25 @@
 
 use crate::{entry::control::Control, settings::Current};
 
-/// Fewest and most time between heartbeats on a link.
+/// Minimum and maximum interval between heartbeats on a link.
 const HEARTBEAT_INTERVAL_RANGE: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(4));
-/// Time that each link adds to the heartbeat interval of all: what beats cost an entry stays the
-/// same however many agents there are.
+/// Heartbeat interval added per link, so that the total heartbeat rate is independent of their
+/// number.
 const HEARTBEAT_INTERVAL_PER_LINK: Duration = Duration::from_millis(24);
-/// Beats that may be missing before a link is taken for dead.
+/// Heartbeats that may be missed before a link counts as down.
 const MAX_MISSED_HEARTBEATS: u32 = 2;
-/// Added to the silence allowed, for scheduling.
+/// Extra time before a silent link counts as down, to allow for scheduling delays.
 const SILENCE_MARGIN: Duration = Duration::from_secs(1);
-/// Longest time to open a link.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before a lost link is opened again.
+/// Delay before a lost link is reopened.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
-/// Orders that may wait for a slow link. The channel itself has no bound, since a bounded one takes
-/// the memory for all of them at once, for each link.
+/// Queued orders per link. Checked on sending, because a bounded channel would allocate memory for
+/// all of them in advance.
 const MAX_QUEUED_ORDERS: usize = 16_384;
-/// Events that may wait for one attempt whose caller reads slowly.
+/// Queued events per attempt; reached only if the caller reads slowly.
 const MAX_QUEUED_EVENTS: usize = 16_384;
 
-/// An order could not be handed to an agent; it was not sent.
+/// Error of an order that was not sent because the agent's link is down or its queue is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Unreachable;
 
@@ -49,7 +48,7 @@
     }
 }
 
-/// All links of one entry. Clones share them.
+/// All links of one entry; a handle whose clones share them.
 #[derive(Clone)]
 pub(crate) struct Links(Arc<Shared>);
 
@@ -62,21 +61,21 @@
 
 #[derive(Default)]
 struct State {
-    /// By agent address.
+    /// Links by agent address.
     links: BTreeMap<Arc<str>, Link>,
-    /// Where the events of an attempt go.
+    /// Event queues of the running attempts.
     routes: BTreeMap<Attempt, Route>,
 }
 
 struct Link {
     task: JoinHandle<()>,
-    /// Present while the link is up.
+    /// `None` while the link is down.
     orders: Option<Sender<Order>>,
 }
 
 struct Route {
     events: Sender<Event>,
-    /// Agents that were sent orders of the attempt.
+    /// Agents that have received orders of the attempt.
     agents: Vec<Arc<str>>,
 }
 
@@ -89,7 +88,7 @@
         self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens links to all agents that the settings name, and closes the others.
+    /// Opens links to all agents of the settings' endpoints, and closes all others.
     pub(crate) fn set_agents(&self, settings: &Snapshot) {
         let mut agents: BTreeMap<Arc<str>, ()> = BTreeMap::new();
         agents.extend(settings.endpoints.values().map(|endpoint| (endpoint.agent.clone(), ())));
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Ends all links.
+    /// Closes all links.
     pub(crate) fn close(&self) {
         let links = std::mem::take(&mut self.state().links);
         for (_, link) in links {
@@ -109,19 +108,19 @@
         }
     }
 
-    /// Makes an inbox for an attempt's events.
+    /// Registers an attempt and returns the receiver of its events.
     pub(crate) fn add_route(&self, attempt: Attempt) -> Receiver<Event> {
         let (events, receiver) = async_channel::unbounded();
         self.state().routes.insert(attempt, Route { events, agents: Vec::new() });
         receiver
     }
 
-    /// Drops the inbox: whatever still arrives for the attempt is late and goes nowhere.
+    /// Unregisters an attempt; events that still arrive for it are ignored.
     pub(crate) fn remove_route(&self, attempt: Attempt) {
         self.state().routes.remove(&attempt);
     }
 
-    /// Sends an order of an attempt.
+    /// Queues an order of an attempt for an agent.
     pub(crate) fn send(&self, agent: &Arc<str>, attempt: Attempt, order: Order) -> Result<(), Unreachable> {
         let mut state = self.state();
         let orders = state.links.get(agent).and_then(|link| link.orders.clone()).ok_or(Unreachable)?;
@@ -134,7 +133,7 @@
         orders.try_send(order).map_err(|_| Unreachable)
     }
 
-    /// How many links there are, and how many of them are up.
+    /// Returns the number of links, and how many of them are up.
     pub(crate) fn count(&self) -> (usize, usize) {
         let state = self.state();
         (state.links.len(), state.links.values().filter(|link| link.orders.is_some()).count())
@@ -143,7 +142,7 @@
     async fn maintain(self, agent: Arc<str>) {
         loop {
             if let Err(error) = self.run(&agent).await {
-                spdlog::debug!("link down: {error}", kv: { agent = &*agent });
+                spdlog::debug!("link to agent failed: {error}", kv: { agent = &*agent });
             }
             self.mark_down(&agent);
             task::sleep(RECONNECT_DELAY).await;
@@ -166,14 +165,14 @@
         self.read(agent, events).or(heartbeats).await
     }
 
-    /// Reads events until the link ends or falls silent for good, which only the missing
-    /// heartbeats show.
+    /// Reads events until the stream ends or no event arrives within the timeout. Agents send
+    /// heartbeats, so a working link is never silent for that long.
     async fn read(
         &self,
         agent: &Arc<str>,
         mut events: tonic::Streaming<proto::Event>,
     ) -> Result<(), tonic::Status> {
-        // Worked out anew with each heartbeat, not with each token: it asks for the lock that all share.
+        // Updated per heartbeat only, because it locks the state that all links share.
         let mut silence_timeout = self.silence_timeout();
         loop {
             let next = async_std::future::timeout(silence_timeout, events.next()).await;
@@ -184,7 +183,7 @@
                     silence_timeout = self.silence_timeout();
                 }
                 Ok(event) => self.deliver(event),
-                Err(error) => spdlog::warn!("event ignored: {error}", kv: { agent = &**agent }),
+                Err(error) => spdlog::warn!("ignoring invalid event: {error}", kv: { agent = &**agent }),
             }
         }
     }
@@ -194,8 +193,8 @@
         self.0.control.record_loads(heartbeat.loads);
     }
 
-    /// One slow caller must not hold up the link that all share: an inbox that is full is closed,
-    /// which ends that attempt.
+    /// Passes an event to its attempt. A full queue is closed, which fails the attempt: waiting would
+    /// block all other attempts on the link.
     fn deliver(&self, event: Event) {
         let Some(attempt) = event.attempt() else { return };
         let state = self.state();
@@ -216,12 +215,12 @@
         }
     }
 
-    /// Longest time without any event before a link is taken for dead.
+    /// Returns the time without events after which a link counts as down.
     fn silence_timeout(&self) -> Duration {
         self.heartbeat_interval() * MAX_MISSED_HEARTBEATS + SILENCE_MARGIN
     }
 
-    /// Time between heartbeats on each link.
+    /// Returns the interval between heartbeats on each link.
     fn heartbeat_interval(&self) -> Duration {
         let links = u32::try_from(self.state().links.len()).unwrap_or(u32::MAX);
         HEARTBEAT_INTERVAL_PER_LINK
@@ -236,7 +235,7 @@
         self.0.control.set_link_up(self.endpoints_of(agent), true);
     }
 
-    /// Tells every attempt that has work behind the link that its work is lost.
+    /// Marks the link as down and fails every attempt that has sent orders over it.
     fn mark_down(&self, agent: &Arc<str>) {
         let mut state = self.state();
         if let Some(link) = state.links.get_mut(agent) {
--- a/crates/daemon/src/entry/metrics.rs
+++ b/crates/daemon/src/entry/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of an entry.
+//! Prometheus metrics of an entry.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,7 +7,7 @@
 
 use crate::agent::counters;
 
-/// Bounds of the latency histograms, seconds.
+/// Bucket bounds of the latency histograms.
 const LATENCY_BUCKETS_SECS: [f64; 14] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.054, 0.1, 0.2, 0.4, 0.9, 1.5, 3.0, 10.0, 30.0];
 
@@ -15,12 +15,11 @@
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Requests answered whole, by kind.
+    /// Completely answered requests, by kind.
     pub(crate) answered: IntCounterVec,
     refused: IntCounterVec,
-    /// Attempts after the first.
+    /// Attempts after the first of a request.
     pub(crate) retries: IntCounter,
-    /// Tokens sent to callers.
     pub(crate) tokens: IntCounter,
     first_token: Histogram,
     token_gap: Histogram,
--- a/crates/daemon/src/entry/once.rs
+++ b/crates/daemon/src/entry/once.rs
@@ -1,4 +1,7 @@
-//! Calls that may not be repeated: a record in the table before the one dispatch.
+//! Calls that must not be executed twice.
+//!
+//! A record in the table is written before the call is dispatched. Later requests with the same
+//! idempotency key find the record and get the recorded answer or a refusal.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -17,12 +20,12 @@
     stages::{self, RequestInfo},
 };
 
-/// Times that a lost answer is settled before the caller is told.
+/// Attempts at each table operation before it is given up.
 const MAX_TRIES: u32 = 5;
-/// Pause between them.
+/// Delay between attempts at a table operation.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Serves a call that may not be repeated.
+/// Serves a call with an idempotency key.
 pub(crate) async fn call(
     context: &Context,
     info: &RequestInfo,
@@ -37,20 +40,20 @@
         token: info.request,
     };
     match record.claim().await? {
-        Claim::Claimed(version) => dispatch(context, info, &call, &record, version).await,
+        Claim::Owned(version) => dispatch(context, info, &call, &record, version).await,
         Claim::Replay(reply) => Ok(reply.outbound()),
     }
 }
 
-/// What became of the attempt to begin a call.
+/// Result of claiming the record of a call.
 enum Claim {
-    /// The record is ours and stands at this version: dispatch, once.
-    Claimed(u64),
-    /// The call was made before; this is its answer.
+    /// This request wrote the record, at this version, and must dispatch the call.
+    Owned(u64),
+    /// The call was answered before.
     Replay(stages::Reply),
 }
 
-/// Digest of everything that makes it this call and no other.
+/// Returns the digest that identifies the call, to detect reuse of a key for a different call.
 fn call_digest(call: &Call) -> Arc<str> {
     let body = String::from_utf8_lossy(&call.body);
     digest(&format!("{}\n{}\n{}\n{body}", call.service, call.method, call.path)).into()
@@ -81,7 +84,7 @@
     }
 }
 
-/// The record of one call, as seen by one request.
+/// The record of one call, accessed on behalf of one request.
 struct RecordHandle<'a> {
     context: &'a Context,
     row_key: String,
@@ -90,14 +93,14 @@
 }
 
 impl RecordHandle<'_> {
-    /// Inserts the record, unless another stands there.
+    /// Inserts the record, or decides by the existing one.
     async fn claim(&self) -> Result<Claim, Refusal> {
         for _ in 0..MAX_TRIES {
             let found = self.read().await?;
             let expected = match found {
                 None => 0,
                 Some((version, record)) => match idempotency::decide(&record, &self.digest, self.token) {
-                    Action::Dispatch => return Ok(Claim::Claimed(version)),
+                    Action::Dispatch => return Ok(Claim::Owned(version)),
                     Action::Replay { status, body } => {
                         return Ok(Claim::Replay(stages::Reply { status, body: body.into_bytes() }));
                     }
@@ -106,13 +109,14 @@
                 },
             };
             if let Some(version) = self.insert(expected).await? {
-                return Ok(Claim::Claimed(version));
+                return Ok(Claim::Owned(version));
             }
         }
         Err(unavailable("the record is contended"))
     }
 
-    /// Writes `Started` over `expected`; the version it stands at, none if another stands there now.
+    /// Writes `Started` if the row is still at version `expected`. Returns the new version, or `None`
+    /// if another request has written the row.
     async fn insert(&self, expected: u64) -> Result<Option<u64>, Refusal> {
         match self.write(State::Started, expected).await {
             Ok(version) => Ok(Some(version)),
@@ -122,17 +126,17 @@
         }
     }
 
-    /// Finds out whether a write whose answer was lost has landed, and makes sure that it cannot
-    /// land later: the tombstone takes the place that the write expects to be free.
+    /// Determines whether a write whose reply was lost was applied. If not, writes a tombstone, which
+    /// changes the row version so that the lost write cannot be applied later.
     async fn resolve_insert(&self, expected: u64) -> Result<Option<u64>, Refusal> {
         for _ in 0..MAX_TRIES {
             let Ok(found) = self.read().await else {
                 self.context.clock.sleep(RETRY_DELAY).await;
                 continue;
             };
-            let other = found.as_ref().filter(|(version, _)| *version != expected);
-            match idempotency::resolve_write(other.map(|(_, record)| record), self.token) {
-                WriteOutcome::Applied => return Ok(other.map(|(version, _)| *version)),
+            let current = found.as_ref().filter(|(version, _)| *version != expected);
+            match idempotency::resolve_write(current.map(|(_, record)| record), self.token) {
+                WriteOutcome::Applied => return Ok(current.map(|(version, _)| *version)),
                 WriteOutcome::Conflict => return Ok(None),
                 WriteOutcome::Missing => {
                     if self.write(State::Abandoned, expected).await.is_ok() {
@@ -142,7 +146,8 @@
             }
             self.context.clock.sleep(RETRY_DELAY).await;
         }
-        // Nothing was dispatched and nothing will be: whoever finds the record standing refuses.
+        // The call was not dispatched. If the record was written, later requests with this key are
+        // refused.
         Err(unavailable("it cannot be told whether the record was written"))
     }
 
@@ -160,27 +165,26 @@
         self.context.table.commit(&Transaction { writes: vec![write] }).await
     }
 
-    /// Records an outcome over our record, which stands at `version`.
-    ///
-    /// Guards against a write that was taken for lost and lands late, when the next request under
-    /// this key has long run: unconditional, it would make the call look as if it had not.
+    /// Records the outcome, provided that the record is still at `version`. An unconditional write
+    /// that is delayed could overwrite the record of a later request with the same key.
     async fn finish(&self, version: u64, state: State) {
         for _ in 0..MAX_TRIES {
             match self.write(state.clone(), version).await {
-                // Nobody else writes over a started record: an earlier try of ours has landed.
+                // No other request overwrites a `Started` record, so a conflict means that an earlier
+                // attempt of this loop was applied.
                 Ok(_) | Err(TableError::Conflict(_)) => return,
                 Err(error) => {
-                    spdlog::warn!("outcome not recorded yet: {error}", kv: { row = self.row_key.as_str() })
+                    spdlog::warn!("cannot record the outcome of a call, retrying: {error}", kv: { row = self.row_key.as_str() })
                 }
             }
             self.context.clock.sleep(RETRY_DELAY).await;
         }
-        spdlog::error!("outcome not recorded", kv: { row = self.row_key.as_str() });
+        spdlog::error!("giving up on recording the outcome of a call", kv: { row = self.row_key.as_str() });
     }
 
     async fn record_failure(&self, version: u64, failure: stages::Failure) -> Refusal {
         match failure {
-            // The agent confirmed, or nothing was sent: the call never runs, so it may be made again.
+            // The call was not sent, or the agent confirmed that it will not run. It may be repeated.
             stages::Failure::Refused(refusal) if refusal.not_run => {
                 self.finish(version, State::Abandoned).await;
                 refusal
@@ -190,7 +194,7 @@
                 let refusal = Refusal::not_run(Code::Overloaded, "the service has no room");
                 refusal.with_retry_after(retry_after.max(RETRY_DELAY))
             }
-            stages::Failure::Refused(_) | stages::Failure::Broken { .. } => {
+            stages::Failure::Refused(_) | stages::Failure::Interrupted { .. } => {
                 self.finish(version, State::Unknown).await;
                 idempotency::refuse_unknown_outcome()
             }
--- a/crates/daemon/src/entry/operators.rs
+++ b/crates/daemon/src/entry/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP API: plan, confirm, show, dump.
+//! HTTP API for operators: shows the settings and the state, and plans and confirms changes.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
     digest: String,
 }
 
-/// Answers one request at the admin address.
+/// Serves one HTTP request at the admin address.
 pub(crate) async fn answer(context: Arc<Context>, inbound: Inbound) -> Outbound {
     let ready = context.check_serving().is_ok();
     if let Some(outbound) = admin::common(&inbound, context.metrics.registry(), ready) {
@@ -49,7 +49,7 @@
 fn is_authorized(context: &Context, inbound: &Inbound) -> bool {
     let Some(token) = &context.operator_token else { return true };
     let presented = inbound.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
-    // Compared by digest, so that timing tells nothing about the token.
+    // Compares digests, so that the response time reveals nothing about the token.
     let digest = |text: &str| tarragonhill_core::settings::digest(text);
     presented.is_some_and(|presented| digest(presented) == digest(token))
 }
@@ -99,7 +99,7 @@
         Ok(confirm) => confirm,
         Err(err) => return error(400, "bad_confirm", &err.to_string()),
     };
-    // The newest settings decide; an entry that cannot read them cannot accept a change.
+    // The plan must be checked against the newest settings.
     if let Err(err) = context.current.refresh(&*context.table).await {
         return error(503, "table_unavailable", &format!("{err}; nothing was changed"));
     }
@@ -123,8 +123,8 @@
     commit(context, &plan, &rows, expected).await
 }
 
-/// Writes all rows, the version and the plan's record in one transaction. The compare on the
-/// version row lets one of two racing operators win; the other's changes nothing.
+/// Writes all rows, the version and the plan's record in one transaction. It is conditional on the
+/// version row, so that only one of two concurrent confirmations succeeds.
 async fn commit(
     context: &Context,
     plan: &Plan,
@@ -159,32 +159,32 @@
 }
 
 async fn confirmed(context: &Context, version: u64) -> Outbound {
-    // In force here before the operator hears of it; everywhere else by heartbeats and polls.
+    // Applies the change here before the reply is sent. Other processes learn of it by heartbeats and
+    // polls.
     let _ = context.current.refresh(&*context.table).await;
     context.current.nudge();
     Outbound::json(200, &json!({"outcome": "confirmed", "version": version}))
 }
 
-/// Tells what became of a plan. One without a record gets a tombstone first, so that a confirm
-/// whose answer was lost cannot take effect after this has said that it did not.
+/// Returns the outcome of a plan. If there is no record, writes a tombstone first, so that a
+/// confirmation whose reply was lost cannot take effect afterwards.
 async fn resolve(context: &Context, id: &str) -> Outbound {
     let key = format!("{}{id}", tarragonhill_core::plan::PREFIX);
     for _ in 0..2 {
         match context.table.get(&key).await {
-            Ok(Some(row)) => {
-                return Outbound::json(200, &outcome(context, row.value.unwrap_or_default()));
-            }
+            Ok(Some(row)) => return Outbound::json(200, &outcome(context, row.value.unwrap_or_default())),
             Ok(None) => {}
             Err(err) => return error(503, "table_unavailable", &err.to_string()),
         }
         let tombstone = json!({"outcome": "not_confirmed"});
         let write = Write { key: key.clone(), expected: Some(0), value: Some(tombstone) };
-        // Whatever became of this write, reading again tells.
+        // The result is ignored: the next read finds the record, whoever wrote it.
         let _ = context.table.commit(&Transaction { writes: vec![write] }).await;
     }
     error(503, "unknown", "the table does not tell yet; ask again")
 }
 
+/// Adds the processes that have not applied the plan's version yet.
 fn outcome(context: &Context, mut record: Value) -> Value {
     if let Some(version) = record["version"].as_u64() {
         record["not_in_force_at"] =
--- a/crates/daemon/src/entry/owner.rs
+++ b/crates/daemon/src/entry/owner.rs
@@ -1,5 +1,7 @@
-//! The entry's control thread: the only owner of quota, placement, homes, budgets and quarantine. It
-//! carries commands out one after another.
+//! The entry's control thread.
+//!
+//! It owns the state of quota, placement, shard ownership, retry budgets and quarantine, and
+//! executes commands sequentially.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -33,23 +35,24 @@
     settings::Current,
 };
 
-/// Longest sleep of the thread while nothing is due.
+/// Maximum time that the thread waits for a command. Also the retry delay of requests refused by a
+/// fixed share of a rate limit.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
-/// Weight of the newest measurement of prefill speed.
+/// Weight of the newest sample in the moving average of the prefill speed.
 const SPEED_WEIGHT: f64 = 0.1;
 
-/// What the thread works with.
+/// Parameters of the control thread.
 pub(crate) struct Setup {
     pub(crate) identity: Identity,
     pub(crate) policy: Policy,
     pub(crate) clock: Clock,
     pub(crate) current: Arc<Current>,
     pub(crate) peers: Peers,
-    /// Tells that the table should be looked at at once.
+    /// Requests an immediate read of the lease and shard rows.
     pub(crate) home_refresh: Sender<()>,
 }
 
-/// Starts the thread and gives a handle on it.
+/// Starts the thread and returns a handle to it.
 pub(crate) fn start(setup: Setup) -> io::Result<Control> {
     let (commands, receiver) = async_channel::unbounded();
     let control = Control::new(commands, setup.identity.incarnation);
@@ -58,10 +61,11 @@
     Ok(control)
 }
 
-/// State of the thread.
+/// State owned by the thread.
 struct Owner {
     own_name: Arc<str>,
-    /// Name under which homes lend to this process; a restarted process is another borrower.
+    /// Borrower name in loan requests. It includes the incarnation, so that a restarted process is a
+    /// different borrower.
     borrower: Arc<str>,
     zone: Arc<str>,
     policy: Policy,
@@ -72,18 +76,20 @@
     control: Control,
     rng: ChaCha8Rng,
     home: Home,
+    /// Number of live entries, including this one.
     members: usize,
     limiters: BTreeMap<Arc<str>, Limiter>,
-    /// Fixed parts of the rates, for the policy that splits them.
+    /// Fixed shares of the rates, for policies that split them.
     rate_splits: BTreeMap<Arc<str>, Bucket>,
-    /// When each limiter wants attention; holds each customer at most once.
+    /// Next wakeup of each limiter, by time. Each customer occurs at most once.
     timers: BTreeSet<(Time, Arc<str>)>,
     timer_by_customer: BTreeMap<Arc<str>, Time>,
+    /// Where to send the admission of each queued request.
     pending: BTreeMap<Request, Sender<Admission>>,
     view: View,
     budget: Budget,
     quarantine: quarantine::Tracker,
-    /// Prompt tokens a second.
+    /// Average prefill speed, in prompt tokens per second. `None` before the first prefill.
     prefill_speed: Option<f64>,
 }
 
@@ -117,7 +123,7 @@
         }
     }
 
-    /// Carries commands out until it is told to stop.
+    /// Executes commands until [`Command::Stop`].
     pub(super) async fn run(mut self, commands: Receiver<Command>) {
         loop {
             let sleep = self.time_to_next_timer();
@@ -269,7 +275,7 @@
         }
     }
 
-    /// Asks the customer's home for tokens if that makes sense, and sets the next timer.
+    /// Requests tokens from the customer's home if the limiter needs any, and resets its timer.
     fn request_tokens(&mut self, now: Time, customer: &Arc<str>) {
         let Some(limiter) = self.limiters.get_mut(customer) else { return };
         if let Some(loan) = limiter.request_tokens(now) {
@@ -357,14 +363,12 @@
     }
 
     fn record_prefill(&mut self, tokens: u32, took: Duration) {
-        let prefill_speed = f64::from(tokens.max(1)) / took.as_secs_f64().max(1e-6);
-        self.prefill_speed = Some(
-            self.prefill_speed
-                .map_or(prefill_speed, |old| old * (1.0 - SPEED_WEIGHT) + prefill_speed * SPEED_WEIGHT),
-        );
+        let sample = f64::from(tokens.max(1)) / took.as_secs_f64().max(1e-6);
+        self.prefill_speed =
+            Some(self.prefill_speed.map_or(sample, |old| old * (1.0 - SPEED_WEIGHT) + sample * SPEED_WEIGHT));
     }
 
-    /// Has the rows of homes read now.
+    /// Requests an immediate read of the lease and shard rows.
     fn request_home_refresh(&self) {
         let _ = self.home_refresh.try_send(());
     }
@@ -420,7 +424,7 @@
             Ok(())
         };
         if let Err(error) = parsed {
-            spdlog::error!("row of homes ignored: {error}", kv: { row = row.key.as_str() });
+            spdlog::error!("ignoring invalid lease or shard row: {error}", kv: { row = row.key.as_str() });
         }
     }
 
--- a/crates/daemon/src/entry/peers.rs
+++ b/crates/daemon/src/entry/peers.rs
@@ -1,4 +1,4 @@
-//! Asks other entries: for loans, heartbeats, crash counts and renewals.
+//! Client of the other entries' peer service.
 
 use std::{
     collections::BTreeMap,
@@ -13,9 +13,10 @@
 
 use crate::entry::control::Control;
 
-/// Longest wait for a peer's answer. Shorter than a borrower's own patience.
+/// Timeout of a request. Shorter than the time after which a borrower repeats a loan request.
 const TIMEOUT: Duration = Duration::from_millis(250);
-/// Clients of all peers. Clones share them.
+
+/// Clients of all peers, by address. Clones share them.
 #[derive(Clone, Default)]
 pub(crate) struct Peers(Arc<Mutex<BTreeMap<Arc<str>, PeerClient<Channel>>>>);
 
@@ -32,8 +33,8 @@
         Some(client)
     }
 
-    /// Asks the peer at `address`; `None` if it does not answer in time. A client that timed out
-    /// is dropped, since its connection may have gone silent for good.
+    /// Sends a request to the peer at `address`. Returns `None` if it fails or times out; the client
+    /// is then dropped, because its connection may be dead.
     pub(crate) async fn exchange(
         &self,
         address: &Arc<str>,
@@ -50,7 +51,7 @@
         PeerReply::try_from(reply.into_inner()).ok()
     }
 
-    /// Asks a home for tokens and hands the reply to the control thread.
+    /// Sends a loan request to a home in the background and passes the reply to the control thread.
     pub(crate) fn borrow(
         &self,
         control: Control,
--- a/crates/daemon/src/entry/request.rs
+++ b/crates/daemon/src/entry/request.rs
@@ -1,4 +1,4 @@
-//! What callers send, read and checked, and how they are refused.
+//! Parsing and validation of callers' requests, and the body of refusals.
 
 use std::sync::Arc;
 
@@ -7,26 +7,23 @@
 use tarragonhill_core::{Code, Refusal, Request};
 use tarragonhill_http::server::Inbound;
 
-/// Prompt bytes counted as one token. The engines' tokenisers are not known here; this errs on
-/// the side of counting too many for ordinary text.
+/// Prompt bytes counted as one token. The engines' tokenizers are not available here; for ordinary
+/// text this overestimates the number of tokens.
 pub(crate) const BYTES_PER_TOKEN: usize = 4;
-/// Answer length when the caller names none, tokens.
+/// Default of `max_tokens`.
 const DEFAULT_MAX_TOKENS: u32 = 256;
-/// Longest idempotency key, bytes.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
 /// Body of a completion request.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Completion {
-    /// Name of the model.
     pub(crate) model: Arc<str>,
-    /// The prompt.
     pub(crate) prompt: Arc<str>,
-    /// Most tokens wanted.
+    /// Maximum length of the answer.
     #[serde(default = "default_max_tokens")]
     pub(crate) max_tokens: u32,
-    /// Whether tokens are wanted as they come.
+    /// Whether to send tokens as server-sent events.
     #[serde(default)]
     pub(crate) stream: bool,
 }
@@ -36,12 +33,12 @@
 }
 
 impl Completion {
-    /// Length of the prompt, tokens.
+    /// Returns the estimated length of the prompt.
     pub(crate) fn prompt_tokens(&self) -> u32 {
         u32::try_from(self.prompt.len().div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
     }
 
-    /// Reads and checks a body.
+    /// Parses and validates a request body.
     pub(crate) fn parse(body: &[u8]) -> Result<Self, Refusal> {
         let bad_request = |message: String| Refusal::not_run(Code::BadRequest, message);
         let completion: Self =
@@ -56,19 +53,20 @@
     }
 }
 
-/// A call of a plain service, as read.
+/// A validated call of a plain service.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) service: Arc<str>,
     pub(crate) method: Arc<str>,
+    /// Path within the service, and query.
     pub(crate) path: Arc<str>,
     pub(crate) body: Vec<u8>,
-    /// Present on calls that may not be repeated.
+    /// `None` if the call is safe to repeat.
     pub(crate) idempotency_key: Option<Arc<str>>,
 }
 
 impl Call {
-    /// Reads and checks a call of the path `rest` behind the services' prefix.
+    /// Parses and validates a call; `rest` is the path after the service prefix.
     pub(crate) fn parse(inbound: &Inbound, rest: &str, body: Vec<u8>) -> Result<Self, Refusal> {
         let bad_request = |message: &str| Refusal::not_run(Code::BadRequest, message);
         let (service, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -92,7 +90,7 @@
     }
 }
 
-/// The JSON body of a refusal.
+/// Returns the JSON body of a refusal.
 pub(crate) fn refusal_body(request: Request, refusal: &Refusal) -> serde_json::Value {
     let mut error = json!({
         "code": refusal.code.to_string(),
--- a/crates/daemon/src/entry/stages.rs
+++ b/crates/daemon/src/entry/stages.rs
@@ -1,7 +1,7 @@
-//! The stages of one request: identify, admit, plan, prefill, transfer and decode, answer.
+//! Stages of a request: identify, admit, plan, prefill, transfer and decode, answer.
 //!
-//! Each stage is a function that either passes the request on or refuses it; what is decided about
-//! many requests together is asked of the control thread.
+//! Each stage is a function that either completes or refuses the request. Decisions that concern
+//! more than one request are made by the control thread.
 
 mod answer;
 mod attempt;
@@ -25,23 +25,23 @@
 pub(crate) use complete::complete;
 pub(crate) use plain::{Reply, call, check_service, dispatch};
 
-/// Tokens that a call of a plain service is charged.
+/// Tokens charged for a call of a plain service.
 const CALL_COST_TOKENS: u64 = 1;
 
-/// One request and who sent it.
+/// Identity and progress of one request.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestInfo {
     pub(crate) request: Request,
-    /// The key it came with, in force when it came.
+    /// Key of the caller, valid on arrival.
     pub(crate) key: Arc<Key>,
     pub(crate) arrived: Time,
-    /// Since when it waits for its next token: since it came, or since its last attempt broke off.
+    /// Start of the wait for the next token: the arrival, or the failure of the last attempt.
     pub(crate) waiting_since: Time,
-    /// Whether it was running when an endpoint crashed, here or at another entry.
+    /// Whether the request was running when an endpoint crashed, as known to any entry.
     pub(crate) suspect: bool,
 }
 
-/// Finds out whose request it is.
+/// Authenticates a request by its Authorization header.
 pub(crate) fn identify(context: &Context, authorization: Option<&str>) -> Result<Arc<Key>, Refusal> {
     context.check_serving()?;
     let key = authorization.and_then(|value| value.strip_prefix("Bearer "));
@@ -53,8 +53,8 @@
     Refusal::not_run(Code::BadKey, message)
 }
 
-/// Checks the key again before a costly stage: it may have been withdrawn meanwhile, and a process
-/// that was paused may wake up in the middle of a request.
+/// Checks before a costly stage that the key is still valid and that the entry may still serve; both
+/// can change during a request, for example while the process is paused.
 fn recheck(context: &Context, info: &RequestInfo) -> Result<(), Refusal> {
     context.check_serving()?;
     match context.current.get().is_withdrawn(&info.key.id) {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Whether a running answer must be cut because its key was withdrawn.
+/// Returns whether a running answer must be cut because its key was withdrawn.
 fn is_cut(context: &Context, info: &RequestInfo) -> bool {
     let settings = context.current.get();
     if !settings.is_withdrawn(&info.key.id) {
@@ -73,26 +73,26 @@
     key.is_none_or(|key| key.running == WithdrawalPolicy::Cut)
 }
 
-/// Tokens charged for a request, given back unless they are used.
+/// Tokens charged for a request. Dropping it refunds the unused ones.
 ///
-/// Guards against a caller that leaves in the middle of its answer, again and again: what has begun
-/// to run is paid for, unless its end says how much of it was used.
+/// Once work has started, the whole charge counts as used until the actual usage is known, so that a
+/// caller cannot avoid the charge by disconnecting.
 pub(crate) struct Charge<'a> {
     context: &'a Context,
     customer: Arc<str>,
     request: Request,
-    /// Tokens to give back when this is dropped.
+    /// Tokens refunded on drop.
     unused: u64,
     admitted: bool,
 }
 
 impl Charge<'_> {
-    /// Notes that costly work begins: if nothing more is heard, all of the charge is used.
+    /// Marks the whole charge as used, before work starts.
     fn mark_used(&mut self) {
         self.unused = 0;
     }
 
-    /// Notes at the end how much of the charge was not used.
+    /// Sets the tokens to refund, once the usage is known.
     fn set_unused(&mut self, unused: u64) {
         self.unused = unused;
     }
@@ -102,13 +102,13 @@
     fn drop(&mut self) {
         match self.admitted {
             true => self.context.control.refund(&self.customer, self.unused),
-            // The caller left while it waited for tokens.
+            // The caller disconnected while the request waited for admission.
             false => self.context.control.cancel_admission(&self.customer, self.request),
         }
     }
 }
 
-/// Charges the request to its customer, waiting a bounded time for tokens.
+/// Charges a request to its customer. Waits up to `rate_wait` for tokens.
 async fn admit<'a>(context: &'a Context, info: &RequestInfo, cost: u64) -> Result<Charge<'a>, Refusal> {
     let customer = info.key.customer.clone();
     let settings = context.current.get();
@@ -138,7 +138,7 @@
     }
 }
 
-/// Charges a call of a plain service that may not be repeated.
+/// Charges a call of a plain service that must not be repeated. The charge is not refunded.
 pub(crate) async fn charge_call<'a>(context: &'a Context, info: &RequestInfo) -> Result<Charge<'a>, Refusal> {
     let mut charge = admit(context, info, CALL_COST_TOKENS).await?;
     charge.mark_used();
--- a/crates/daemon/src/entry/stages/answer.rs
+++ b/crates/daemon/src/entry/stages/answer.rs
@@ -1,4 +1,4 @@
-//! The answer as the caller gets it: every token once, in order, to its proper end.
+//! Output of an answer to the caller: each token once and in order, with an explicit end.
 
 use std::{io, sync::Arc};
 
@@ -9,20 +9,20 @@
 
 use crate::entry::{context::Context, request::refusal_body};
 
-/// Tokens arrived with a gap before them, so the answer cannot be whole.
+/// Error while passing tokens to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TokenError {
-    /// A token is missing.
+    /// One or more tokens are missing.
     Gap,
-    /// The caller no longer reads.
-    CallerGone,
+    /// The caller has disconnected.
+    CallerLeft,
 }
 
-/// Collects or streams an answer.
+/// An answer in progress, either collected or streamed.
 pub(super) struct Output<'a> {
     context: &'a Context,
     request: Request,
-    /// Index of the next token; whatever lies below it has been taken already.
+    /// Index of the next token; all tokens below it have been accepted.
     next_index: u32,
     arrived: Time,
     last_token_at: Time,
@@ -30,10 +30,10 @@
 }
 
 enum Delivery {
-    /// All tokens at once.
+    /// All tokens are sent in one response at the end.
     Buffered(String),
-    /// Tokens as they come. The head goes out with the first, so that a refusal before it still
-    /// has a status of its own.
+    /// Tokens are sent as they arrive. The response head is sent with the first token, so that a
+    /// request refused before that gets its own HTTP status.
     Stream { head: Sender<Outbound>, body: Option<tarragonhill_http::Sender> },
 }
 
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Index of the next token wanted.
+    /// Returns the index of the next token; equals the number of tokens accepted.
     pub(super) fn next_index(&self) -> u32 {
         self.next_index
     }
 
-    /// Takes tokens. Those below the next index are repeats of a resumed decode and dropped.
+    /// Passes on tokens. Drops those below the next index, which a resumed decode may repeat.
     pub(super) async fn accept_tokens(
         &mut self,
         first_index: u32,
@@ -116,14 +116,14 @@
             Some(sender) => sender,
             None => {
                 let (outbound, sender) = Outbound::stream(200, "text/event-stream");
-                head.send(outbound).await.map_err(|_| TokenError::CallerGone)?;
+                head.send(outbound).await.map_err(|_| TokenError::CallerLeft)?;
                 body.insert(sender)
             }
         };
-        sender.send(Ok(chunk.into_bytes())).await.map_err(|_| TokenError::CallerGone)
+        sender.send(Ok(chunk.into_bytes())).await.map_err(|_| TokenError::CallerLeft)
     }
 
-    /// Ends a whole answer; returns the response unless it was streamed.
+    /// Ends a complete answer. Returns the response, or `None` if it was streamed.
     pub(super) async fn finish(mut self) -> Result<Option<Outbound>, TokenError> {
         let tokens = self.next_index;
         if let Delivery::Buffered(text) = &mut self.delivery {
@@ -139,13 +139,14 @@
         Ok(None)
     }
 
-    /// Breaks the answer off so that nobody takes it for whole: an error event, then a connection
-    /// cut before the body's end. Gives the refusal back if nothing has been sent yet.
+    /// Aborts the answer. If part of it was streamed, sends an error event and cuts the connection
+    /// before the end of the body, so that it cannot be mistaken for complete. Otherwise returns the
+    /// refusal.
     pub(super) async fn abort(self, refusal: Refusal) -> Option<Refusal> {
         let Delivery::Stream { body: Some(body), .. } = self.delivery else { return Some(refusal) };
         let error = refusal_body(self.request, &refusal);
         let _ = body.send(Ok(format!("event: error\ndata: {error}\n\n").into_bytes())).await;
-        let _ = body.send(Err(io::Error::other("answer broke off"))).await;
+        let _ = body.send(Err(io::Error::other("answer aborted"))).await;
         self.context.metrics.count_refusal(refusal.code);
         None
     }
--- a/crates/daemon/src/entry/stages/attempt.rs
+++ b/crates/daemon/src/entry/stages/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: the orders sent for it, the events that come back, and cleaning up after it.
+//! One attempt of a request: sends its orders, receives its events and cleans up after it.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -10,23 +10,23 @@
 
 use crate::entry::context::Context;
 
-/// Why an attempt did not end with a whole answer.
+/// Reason why an attempt did not complete.
 #[derive(Clone, Debug)]
 pub(crate) enum Failure {
-    /// The request is refused for good.
+    /// The request is refused and must not be retried.
     Refused(Refusal),
-    /// An endpoint has no room; nothing has run there.
+    /// An endpoint refused the work as overloaded and did not start it.
     Overloaded {
         /// The endpoint.
         endpoint: Arc<str>,
-        /// When asking again makes sense.
+        /// Suggested delay before a retry; zero if unknown.
         retry_after: Duration,
     },
-    /// Work that had started broke off.
-    Broken {
-        /// Where.
+    /// The work failed or its result is unknown.
+    Interrupted {
+        /// Endpoint that ran the work.
         endpoint: Arc<str>,
-        /// How.
+        /// Cause of the failure.
         cause: FailureCause,
     },
 }
@@ -37,15 +37,15 @@
     }
 }
 
-/// One attempt under way. Dropping it, for whatever reason, gives up what still runs: a caller that
-/// left never keeps an engine's memory.
+/// An attempt in progress. Dropping it cancels all work that may still run, so that a caller that
+/// disconnects does not keep memory of an engine.
 pub(super) struct Dispatch<'a> {
     context: &'a Context,
     attempt: Attempt,
     events: Receiver<Event>,
-    /// Agents that may still run something of the attempt.
+    /// Agents that may still run work of the attempt.
     agents: BTreeSet<Arc<str>>,
-    /// Endpoints counted as busy with the attempt.
+    /// Endpoints to which the control thread has recorded work of the attempt.
     endpoints: Vec<Arc<str>>,
 }
 
@@ -69,18 +69,18 @@
         self.endpoints.push(endpoint.clone());
         self.agents.insert(agent.clone());
         let sent = self.context.links.send(agent, self.attempt, order);
-        sent.map_err(|_| Failure::Broken { endpoint: endpoint.clone(), cause: FailureCause::LinkLost })
+        sent.map_err(|_| Failure::Interrupted { endpoint: endpoint.clone(), cause: FailureCause::LinkLost })
     }
 
-    /// The next event of the attempt, `limit` at most. `endpoint` is blamed for whatever goes
-    /// wrong meanwhile.
+    /// Returns the next event of the attempt. A failure, a refusal or a wait longer than `limit` is
+    /// attributed to `endpoint`.
     pub(super) async fn next_event(&self, endpoint: &Arc<str>, limit: Duration) -> Result<Event, Failure> {
-        let broken = |cause| Failure::Broken { endpoint: endpoint.clone(), cause };
+        let interrupted = |cause| Failure::Interrupted { endpoint: endpoint.clone(), cause };
         let event = async_std::future::timeout(limit, self.events.recv()).await;
         match event {
-            Err(_) => Err(broken(FailureCause::Stalled)),
-            Ok(Err(_)) => Err(broken(FailureCause::LinkLost)),
-            Ok(Ok(Event::Failed { cause, .. })) => Err(broken(cause)),
+            Err(_) => Err(interrupted(FailureCause::Stalled)),
+            Ok(Err(_)) => Err(interrupted(FailureCause::LinkLost)),
+            Ok(Ok(Event::Failed { cause, .. })) => Err(interrupted(cause)),
             Ok(Ok(Event::Refused { code, not_run, retry_after, .. })) => {
                 Err(refusal_failure(endpoint, code, not_run, retry_after))
             }
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Notes that nothing of the attempt runs any more.
+    /// Marks the attempt as ended, so that a drop sends no cancellation.
     pub(super) fn mark_ended(&mut self) {
         self.agents.clear();
     }
--- a/crates/daemon/src/entry/stages/complete.rs
+++ b/crates/daemon/src/entry/stages/complete.rs
@@ -1,4 +1,5 @@
-//! Serves a completion: attempts until one ends with a whole answer or the budget is spent.
+//! Serves completions: admits a request, then runs attempts until one completes or no retry is
+//! allowed.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -16,12 +17,13 @@
 };
 use crate::entry::{context::Context, control, request::Completion};
 
-/// Other endpoints tried when one has no room. Not a retry: nothing has run.
+/// Further endpoints tried after an endpoint refused the work as overloaded. These do not count as
+/// retries, because the refused work was not started.
 const MAX_ALTERNATIVES: usize = 2;
-/// An endpoint that had no room is avoided for this long.
+/// Minimum time for which an overloaded endpoint is avoided.
 const MIN_AVOID_TIME: Duration = Duration::from_millis(50);
 
-/// Serves a completion.
+/// Serves a completion request.
 pub(crate) async fn complete(
     context: &Arc<Context>,
     info: RequestInfo,
@@ -45,7 +47,7 @@
     }
 }
 
-/// Streams in a task of its own; completes with the head once there is a first token.
+/// Runs the request in its own task. Completes with the response head when the first token arrives.
 async fn stream(
     context: Arc<Context>,
     info: RequestInfo,
@@ -76,7 +78,7 @@
     match head.or(refusal).await {
         Ok(outbound) => Ok(outbound),
         Err(Some(refusal)) => Err(refusal),
-        // The head's sender is dropped with the task, just before the refusal is sent.
+        // The sender of the head is dropped just before the refusal is sent.
         Err(None) => refusal_receiver.recv().await.map_or_else(|_| Err(caller_left()), Err),
     }
 }
@@ -137,12 +139,12 @@
     context.control.record_success(&info.key.customer, endpoint);
     context.metrics.answered.with_label_values(&["completion"]).inc();
     let request = info.request.to_string();
-    spdlog::info!("answered", kv: {
+    spdlog::info!("completion answered", kv: {
         request = request.as_str(), customer = &*info.key.customer, endpoint = &**endpoint, tokens
     });
 }
 
-/// What is left of the charge at the end: all of it for a request that did not run.
+/// Returns the part of the charge that was not used; all of it if the request did not run.
 fn unused(cost: u64, completion: &Completion, output: &Output<'_>, ended: &Result<Arc<str>, Refusal>) -> u64 {
     if ended.as_ref().is_err_and(|refusal| refusal.not_run) {
         return cost;
@@ -150,7 +152,8 @@
     cost.saturating_sub(u64::from(completion.prompt_tokens()) + u64::from(output.next_index()))
 }
 
-/// Refuses a request that has crashed too many endpoints, and marks one that was seen at a crash.
+/// Refuses a quarantined request, and marks a request as suspect if it was running when an endpoint
+/// crashed.
 async fn check_quarantine(
     context: &Context,
     info: &mut RequestInfo,
@@ -165,22 +168,21 @@
     Err(Refusal::not_run(Code::Quarantined, message).with_retry_after(status.quarantined))
 }
 
-/// What the attempts of one request have come to so far.
+/// Results of the attempts of one request so far.
 #[derive(Default)]
 struct AttemptHistory {
-    /// Attempts made.
     attempts: u32,
-    /// Attempts that broke off.
+    /// Number of attempts that failed, without refusals.
     failures: u32,
-    /// Endpoints that had no room.
+    /// Number of attempts refused as overloaded.
     overloaded: usize,
-    /// Whether anything has run.
+    /// Whether any work of the request may have run.
     has_run: bool,
-    /// Endpoints not to be asked again.
+    /// Endpoints to avoid in further attempts.
     tried: BTreeSet<Arc<str>>,
 }
 
-/// Tries until an attempt ends with a whole answer; returns the endpoint that finished it.
+/// Runs attempts until one completes; returns the endpoint that decoded it.
 async fn run_attempts(
     context: &Arc<Context>,
     info: &mut RequestInfo,
@@ -210,7 +212,7 @@
                 }
                 history.tried.insert(endpoint);
             }
-            Err(Failure::Broken { endpoint, cause }) => {
+            Err(Failure::Interrupted { endpoint, cause }) => {
                 history.has_run = true;
                 history.failures += 1;
                 may_retry(context, info, fingerprint, &endpoint, history.failures, cause).await?;
@@ -222,8 +224,8 @@
     }
 }
 
-/// Whether a request that broke off may be tried again: it must not have crashed too many
-/// endpoints, and the budgets of its customer and the endpoint must allow it.
+/// Returns an error if a failed request must not be retried: it has been quarantined, or the retry
+/// budget of its customer or of the endpoint is exhausted.
 async fn may_retry(
     context: &Arc<Context>,
     info: &mut RequestInfo,
@@ -236,17 +238,17 @@
     if cause == FailureCause::Crashed {
         info.suspect = true;
         if !context.report_crash(&customer, fingerprint).await.quarantined.is_zero() {
-            return Err(broken(cause));
+            return Err(interrupted(cause));
         }
     }
     let request = control::RetryRequest { customer, endpoint: endpoint.clone(), number, cause };
     match context.control.try_spend_retry(request).await {
         true => Ok(()),
-        false => Err(broken(cause)),
+        false => Err(interrupted(cause)),
     }
 }
 
-/// One attempt through all costly stages; returns the endpoint that finished it.
+/// Runs one attempt: plan, prefill and decode. Returns the endpoint that decoded it.
 async fn run_attempt(
     context: &Context,
     info: &RequestInfo,
@@ -270,6 +272,6 @@
     refusal.with_retry_after(retry_after.max(Duration::from_millis(200)))
 }
 
-fn broken(cause: FailureCause) -> Refusal {
+fn interrupted(cause: FailureCause) -> Refusal {
     Refusal::may_have_run(Code::Broken, format!("the work broke off ({cause}) and could not be resumed"))
 }
--- a/crates/daemon/src/entry/stages/decode.rs
+++ b/crates/daemon/src/entry/stages/decode.rs
@@ -1,4 +1,4 @@
-//! Transfers a prefill result to its decode endpoint and passes the tokens on.
+//! Decode stage: transfers the prefill result to the decode endpoint and passes on the tokens.
 
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
 };
 use crate::entry::{context::Context, request::Completion};
 
-/// Longest silence before the first token and between tokens. The agent gives up earlier; this
-/// covers the agent itself.
+/// Maximum wait for the first token and between tokens. Agents detect a stalled engine earlier; this
+/// timeout detects a stalled agent.
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Decodes to the end.
+/// Runs the decode until the answer is complete.
 pub(super) async fn decode(
     context: &Context,
     info: &RequestInfo,
@@ -56,7 +56,7 @@
                 dispatch.mark_ended();
                 return Ok(());
             }
-            // The end came, but not all tokens did: never a shorter whole answer.
+            // Tokens are missing. The answer must not be presented as complete.
             Event::Ended { .. } => return Err(token_failure(TokenError::Gap, endpoint)),
             _ => {}
         }
@@ -65,7 +65,7 @@
 
 fn token_failure(error: TokenError, endpoint: &std::sync::Arc<str>) -> Failure {
     match error {
-        TokenError::Gap => Failure::Broken { endpoint: endpoint.clone(), cause: FailureCause::Crashed },
-        TokenError::CallerGone => Refusal::may_have_run(Code::Cancelled, "the caller left").into(),
+        TokenError::Gap => Failure::Interrupted { endpoint: endpoint.clone(), cause: FailureCause::Crashed },
+        TokenError::CallerLeft => Refusal::may_have_run(Code::Cancelled, "the caller left").into(),
     }
 }
--- a/crates/daemon/src/entry/stages/plain.rs
+++ b/crates/daemon/src/entry/stages/plain.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Serves calls of plain services.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -20,10 +20,10 @@
     request,
 };
 
-/// Longest time for a call, its queueing included.
+/// Timeout of a call, including its time in the queue.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A plain service's answer.
+/// Answer of a plain service.
 #[derive(Clone, Debug)]
 pub(crate) struct Reply {
     pub(crate) status: u16,
@@ -31,13 +31,13 @@
 }
 
 impl Reply {
-    /// The answer as the caller gets it.
+    /// Converts the answer to an HTTP response.
     pub(crate) fn outbound(self) -> Outbound {
         Outbound::whole(self.status, "application/json", self.body)
     }
 }
 
-/// Serves a call that may be repeated.
+/// Serves a call that is safe to repeat, with retries.
 pub(crate) async fn call(
     context: &Context,
     info: &RequestInfo,
@@ -60,7 +60,7 @@
                 let refusal = Refusal::not_run(Code::Overloaded, "the service has no room");
                 return Err(refusal.with_retry_after(retry_after.max(Duration::from_millis(200))));
             }
-            Err(Failure::Broken { endpoint, cause }) => {
+            Err(Failure::Interrupted { endpoint, cause }) => {
                 let customer = info.key.customer.clone();
                 let retry = control::RetryRequest { customer, endpoint: endpoint.clone(), number, cause };
                 if !context.control.try_spend_retry(retry).await {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Refuses a service that nobody serves.
+/// Refuses calls of a service that no endpoint serves.
 pub(crate) fn check_service(context: &Context, service: &Arc<str>) -> Result<(), Refusal> {
     let settings = context.current.get();
     match settings.serving(service, Role::Plain) {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Sends a call once.
+/// Sends a call to one endpoint and returns the endpoint with its answer.
 pub(crate) async fn dispatch(
     context: &Context,
     info: &RequestInfo,
--- a/crates/daemon/src/entry/stages/plan.rs
+++ b/crates/daemon/src/entry/stages/plan.rs
@@ -1,4 +1,4 @@
-//! Finds decode memory for a request before anything costly starts.
+//! Plan stage: chooses a decode endpoint and reserves its memory before the prefill starts.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -19,24 +19,25 @@
     request::Completion,
 };
 
-/// An agent answers a hold by its deadline; this much later it is taken for stalled.
+/// Extra time that an agent has to answer a hold after the deadline before it counts as stalled.
 const HOLD_REPLY_GRACE: Duration = Duration::from_millis(500);
-/// Patience of suspects of a crash. They run one at a time, and most of them are innocent and have
-/// been paid for.
+/// Minimum timeout of suspect requests. They need more time because each endpoint runs only one of
+/// them at a time.
 const SUSPECT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Slack of the baselines, which know no early refusal.
+/// Slack and timeout under policies without holds, which do not refuse work early.
 const BASELINE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Where the decode will run.
+/// Result of the plan stage.
 #[derive(Clone, Debug)]
 pub(super) struct DecodePlan {
     pub(super) decode: Target,
-    /// When its place is free.
+    /// Time until the decode memory is free.
     pub(super) ready_in: Duration,
+    /// Whether the decode memory is held for the attempt.
     pub(super) held: bool,
 }
 
-/// The part of an order that is the same in every stage.
+/// Returns the work description for orders of any stage.
 pub(super) fn work(
     context: &Context,
     info: &RequestInfo,
@@ -57,7 +58,7 @@
     }
 }
 
-/// Time left until the first token is due.
+/// Returns the time left until the first token is due.
 pub(super) fn slack(context: &Context, info: &RequestInfo) -> Duration {
     if !context.policy.uses_holds() {
         return BASELINE_TIMEOUT;
@@ -65,7 +66,7 @@
     context.first_token.saturating_sub(context.clock.now().since(info.waiting_since))
 }
 
-/// Time left until the request is given up.
+/// Returns the time left until the request is refused if it has not started.
 pub(super) fn remaining_timeout(context: &Context, info: &RequestInfo) -> Duration {
     if !context.policy.uses_holds() {
         return BASELINE_TIMEOUT;
@@ -78,7 +79,7 @@
     timeout.saturating_sub(context.clock.now().since(info.waiting_since))
 }
 
-/// Chooses a decode endpoint and, by policy, holds its memory.
+/// Chooses a decode endpoint and, if the policy uses holds, requests a hold on its memory.
 pub(super) async fn plan(
     context: &Context,
     info: &RequestInfo,
@@ -110,7 +111,7 @@
     }
 }
 
-/// The refusal when no endpoint can be chosen.
+/// Returns the failure for work that no endpoint can take.
 pub(super) fn no_endpoint() -> Failure {
     let refusal = Refusal::not_run(Code::NoEndpoint, "no endpoint can take this work now");
     Failure::Refused(refusal.with_retry_after(Duration::from_secs(1)))
--- a/crates/daemon/src/entry/stages/prefill.rs
+++ b/crates/daemon/src/entry/stages/prefill.rs
@@ -1,4 +1,4 @@
-//! Runs the prefill of a request whose decode memory is promised.
+//! Prefill stage: runs the prefill after decode memory has been planned.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -20,23 +20,24 @@
     request::Completion,
 };
 
-/// Longest prefill once its turn has come.
+/// Maximum duration of a prefill after it has left the queue.
 const PREFILL_TIMEOUT: Duration = Duration::from_secs(30);
-/// Other endpoints asked before one may do it late.
+/// Further endpoints tried after an endpoint refused the prefill as overloaded.
 const MAX_ALTERNATIVES: usize = 2;
-/// Bytes of a prompt's beginning that engines are likely to have cached.
+/// Length of the prompt prefix by which requests are routed to an endpoint that has it cached.
 const AFFINITY_PREFIX_BYTES: usize = 2_048;
 
-/// A prefill result.
+/// Location of the KV cache that a prefill produced.
 #[derive(Clone, Debug)]
 pub(super) struct PrefillResult {
+    /// Address of the prefill engine.
     pub(super) source: Arc<str>,
+    /// Identifies the KV cache on that engine.
     pub(super) kv: Arc<str>,
 }
 
-/// Chooses a prefill endpoint and runs the prefill there. An endpoint that cannot do it in time for
-/// the first-token target is passed over as long as there is another to ask; the last one asked
-/// may do it late.
+/// Chooses a prefill endpoint and runs the prefill there. If the endpoint refuses because it cannot
+/// meet the first-token target, tries others; only the last one may run the prefill late.
 pub(super) async fn prefill(
     context: &Context,
     info: &RequestInfo,
@@ -92,7 +93,8 @@
     if !may_be_late {
         work.timeout = work.slack;
     }
-    // A result is evicted in under a second: it must not be ready long before its place is.
+    // Engines evict prefill results early, so the result must not be ready long before the decode
+    // memory is free.
     let delay = decode_plan.ready_in.saturating_sub(target.prefill_time);
     let order = Order::Prefill { work, prompt: completion.prompt.clone(), delay };
     dispatch.send(&target.agent, &target.endpoint, order)?;
