--- a/crates/daemon/src/entry/stages/attempt.rs
+++ b/crates/daemon/src/entry/stages/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: the orders sent for it, the events that come back, and cleaning up after it.
+//! One attempt of a request: sends its orders, receives its events and cleans up after it.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -10,23 +10,23 @@
 
 use crate::entry::context::Context;
 
-/// Why an attempt did not end with a whole answer.
+/// Reason why an attempt did not complete.
 #[derive(Clone, Debug)]
 pub(crate) enum Failure {
-    /// The request is refused for good.
+    /// The request is refused and must not be retried.
     Refused(Refusal),
-    /// An endpoint has no room; nothing has run there.
-    Full {
+    /// An endpoint refused the work as overloaded and did not start it.
+    Overloaded {
         /// The endpoint.
         endpoint: Arc<str>,
-        /// When asking again makes sense.
+        /// Suggested delay before a retry; zero if unknown.
         retry_after: Duration,
     },
-    /// Work that had started broke off.
-    Broken {
-        /// Where.
+    /// The work failed or its result is unknown.
+    Interrupted {
+        /// Endpoint that ran the work.
         endpoint: Arc<str>,
-        /// How.
+        /// Cause of the failure.
         cause: FailureCause,
     },
 }
@@ -37,22 +37,22 @@
     }
 }
 
-/// One attempt under way. Dropping it, for whatever reason, gives up what still runs: a caller that
-/// left never keeps an engine's memory.
+/// An attempt in progress. Dropping it cancels all work that may still run, so that a caller that
+/// disconnects does not keep memory of an engine.
 pub(super) struct Dispatch<'a> {
     context: &'a Context,
     attempt: Attempt,
-    inbox: Receiver<Event>,
-    /// Agents that may still run something of the attempt.
+    events: Receiver<Event>,
+    /// Agents that may still run work of the attempt.
     agents: BTreeSet<Arc<str>>,
-    /// Endpoints counted as busy with the attempt.
+    /// Endpoints to which the control thread has recorded work of the attempt.
     endpoints: Vec<Arc<str>>,
 }
 
 impl<'a> Dispatch<'a> {
     pub(super) fn new(context: &'a Context, attempt: Attempt) -> Self {
-        let inbox = context.links.route(attempt);
-        Self { context, attempt, inbox, agents: BTreeSet::new(), endpoints: Vec::new() }
+        let events = context.links.add_route(attempt);
+        Self { context, attempt, events, agents: BTreeSet::new(), endpoints: Vec::new() }
     }
 
     pub(super) fn attempt(&self) -> Attempt {
@@ -69,35 +69,35 @@
         self.endpoints.push(endpoint.clone());
         self.agents.insert(agent.clone());
         let sent = self.context.links.send(agent, self.attempt, order);
-        sent.map_err(|_| Failure::Broken { endpoint: endpoint.clone(), cause: FailureCause::LinkLost })
+        sent.map_err(|_| Failure::Interrupted { endpoint: endpoint.clone(), cause: FailureCause::LinkLost })
     }
 
-    /// The next event of the attempt, `limit` at most. `endpoint` is blamed for whatever goes
-    /// wrong meanwhile.
-    pub(super) async fn next(&self, endpoint: &Arc<str>, limit: Duration) -> Result<Event, Failure> {
-        let broken = |cause| Failure::Broken { endpoint: endpoint.clone(), cause };
-        let next = async_std::future::timeout(limit, self.inbox.recv()).await;
-        match next {
-            Err(_) => Err(broken(FailureCause::Stalled)),
-            Ok(Err(_)) => Err(broken(FailureCause::LinkLost)),
-            Ok(Ok(Event::Failed { cause, .. })) => Err(broken(cause)),
+    /// Returns the next event of the attempt. A failure, a refusal or a wait longer than `limit` is
+    /// attributed to `endpoint`.
+    pub(super) async fn next_event(&self, endpoint: &Arc<str>, limit: Duration) -> Result<Event, Failure> {
+        let interrupted = |cause| Failure::Interrupted { endpoint: endpoint.clone(), cause };
+        let event = async_std::future::timeout(limit, self.events.recv()).await;
+        match event {
+            Err(_) => Err(interrupted(FailureCause::Stalled)),
+            Ok(Err(_)) => Err(interrupted(FailureCause::LinkLost)),
+            Ok(Ok(Event::Failed { cause, .. })) => Err(interrupted(cause)),
             Ok(Ok(Event::Refused { code, not_run, retry_after, .. })) => {
-                Err(refused(endpoint, code, not_run, retry_after))
+                Err(refusal_failure(endpoint, code, not_run, retry_after))
             }
             Ok(Ok(event)) => Ok(event),
         }
     }
 
-    /// Notes that nothing of the attempt runs any more.
-    pub(super) fn ended(&mut self) {
+    /// Marks the attempt as ended, so that a drop sends no cancellation.
+    pub(super) fn mark_ended(&mut self) {
         self.agents.clear();
     }
 }
 
-fn refused(endpoint: &Arc<str>, code: Code, not_run: bool, retry_after: Duration) -> Failure {
+fn refusal_failure(endpoint: &Arc<str>, code: Code, not_run: bool, retry_after: Duration) -> Failure {
     match code {
         Code::Overloaded | Code::NoEndpoint if not_run => {
-            Failure::Full { endpoint: endpoint.clone(), retry_after }
+            Failure::Overloaded { endpoint: endpoint.clone(), retry_after }
         }
         Code::BadKey => {
             Failure::Refused(Refusal { not_run, ..Refusal::may_have_run(code, "the key was withdrawn") })
@@ -111,12 +111,12 @@
 
 impl Drop for Dispatch<'_> {
     fn drop(&mut self) {
-        self.context.links.unroute(self.attempt);
+        self.context.links.remove_route(self.attempt);
         for agent in &self.agents {
             let _ = self.context.links.send(agent, self.attempt, Order::Cancel(self.attempt));
         }
         for endpoint in &self.endpoints {
-            self.context.control.done(endpoint, self.attempt);
+            self.context.control.remove_sent(endpoint, self.attempt);
         }
     }
 }
