--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -5,15 +5,15 @@
 use tarragonhill_core::{
     Time,
     freshness::{Freshness, MAX_AGE},
-    message::Beat,
+    message::Heartbeat,
 };
 
 fn at(seconds: u64) -> Time {
     Time::ZERO.plus(Duration::from_secs(seconds))
 }
 
-fn beat(version: u64, age: u64) -> Beat {
-    Beat { version, age: Duration::from_secs(age), ..Beat::default() }
+fn heartbeat(version: u64, age: u64) -> Heartbeat {
+    Heartbeat { version, age: Duration::from_secs(age), ..Heartbeat::default() }
 }
 
 fn entries() -> BTreeSet<Arc<str>> {
@@ -40,8 +40,8 @@
     let mut freshness = Freshness::default();
     freshness.record_read(at(0), 3);
     for second in 1..600 {
-        freshness.record_heartbeat(at(second), &"b".into(), &beat(3, second));
-        freshness.record_heartbeat(at(second), &"c".into(), &beat(3, second));
+        freshness.record_heartbeat(at(second), &"b".into(), &heartbeat(3, second));
+        freshness.record_heartbeat(at(second), &"c".into(), &heartbeat(3, second));
     }
     assert!(freshness.may_serve(at(600), &entries()));
 }
@@ -51,7 +51,7 @@
 fn entry_stops_serving_in_an_outage_if_one_other_sends_no_heartbeats() {
     let mut freshness = Freshness::default();
     freshness.record_read(at(0), 3);
-    (1..60).for_each(|second| freshness.record_heartbeat(at(second), &"b".into(), &beat(3, second)));
+    (1..60).for_each(|second| freshness.record_heartbeat(at(second), &"b".into(), &heartbeat(3, second)));
     assert!(!freshness.may_serve(at(60), &entries()));
 }
 
@@ -60,7 +60,7 @@
 fn heartbeat_with_the_same_version_confirms_the_settings() {
     let mut freshness = Freshness::default();
     freshness.record_read(at(0), 3);
-    freshness.record_heartbeat(at(20), &"agent 1".into(), &beat(3, 1));
+    freshness.record_heartbeat(at(20), &"agent 1".into(), &heartbeat(3, 1));
     assert_eq!(freshness.age(at(20)), Duration::from_secs(1));
     assert!(freshness.may_serve(at(20), &entries()));
 }
@@ -81,7 +81,7 @@
 fn entry_that_knows_of_a_newer_version_stops_serving_until_it_has_it() {
     let mut freshness = Freshness::default();
     freshness.record_read(at(0), 3);
-    freshness.record_heartbeat(at(1), &"b".into(), &beat(4, 0));
+    freshness.record_heartbeat(at(1), &"b".into(), &heartbeat(4, 0));
     assert!(freshness.may_serve(at(2), &entries()));
     assert!(!freshness.may_serve(at(4), &entries()));
     freshness.record_read(at(4), 4);
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -1,48 +1,50 @@
-//! Retry budgets.
+//! Tests of retry budgets.
 
 use std::sync::Arc;
 
 use tarragonhill_core::{
-    message::Breakage,
-    retry::{Budget, TRIES},
+    message::FailureCause,
+    retry::{Budget, MAX_ATTEMPTS},
 };
 
 fn names() -> (Arc<str>, Arc<str>) {
     ("faculty".into(), "decode".into())
 }
 
-/// Everything fails. Retries without a budget would multiply the load on what is left.
+/// Unbounded retries would multiply the load during an outage.
 #[test]
-fn retries_stop_when_everything_fails() {
+fn retries_stop_if_every_request_fails() {
     let (customer, endpoint) = names();
     let mut budget = Budget::default();
-    let spent = (0..10_000).filter(|_| budget.spend(&customer, &endpoint, 1, Breakage::Crashed)).count();
-    assert!((20..=100).contains(&spent), "{spent}");
+    let retries =
+        (0..10_000).filter(|_| budget.try_spend(&customer, &endpoint, 1, FailureCause::Crashed)).count();
+    assert!((20..=100).contains(&retries), "{retries}");
 }
 
 #[test]
-fn success_earns_a_part_of_a_retry() {
+fn successes_refill_the_budget_in_part() {
     let (customer, endpoint) = names();
     let mut budget = Budget::default();
-    while budget.spend(&customer, &endpoint, 1, Breakage::Crashed) {}
-    (0..10).for_each(|_| budget.earn(&customer, &endpoint));
-    let spent = (0..100).filter(|_| budget.spend(&customer, &endpoint, 1, Breakage::Crashed)).count();
-    assert!((1..10).contains(&spent), "{spent}");
+    while budget.try_spend(&customer, &endpoint, 1, FailureCause::Crashed) {}
+    (0..10).for_each(|_| budget.record_success(&customer, &endpoint));
+    let retries =
+        (0..100).filter(|_| budget.try_spend(&customer, &endpoint, 1, FailureCause::Crashed)).count();
+    assert!((1..10).contains(&retries), "{retries}");
 }
 
 #[test]
-fn one_customer_cannot_spend_anothers_budget() {
+fn customers_have_separate_budgets() {
     let (customer, endpoint) = names();
     let mut budget = Budget::default();
-    while budget.spend(&customer, &endpoint, 1, Breakage::Crashed) {}
-    assert!(budget.spend(&"grants".into(), &"other".into(), 1, Breakage::Crashed));
+    while budget.try_spend(&customer, &endpoint, 1, FailureCause::Crashed) {}
+    assert!(budget.try_spend(&"grants".into(), &"other".into(), 1, FailureCause::Crashed));
 }
 
 #[test]
-fn errors_of_the_request_and_last_tries_are_not_retried() {
+fn engine_errors_and_last_attempts_are_not_retried() {
     let (customer, endpoint) = names();
     let mut budget = Budget::default();
-    assert!(!budget.spend(&customer, &endpoint, 1, Breakage::Failed));
-    assert!(!budget.spend(&customer, &endpoint, TRIES, Breakage::Crashed));
+    assert!(!budget.try_spend(&customer, &endpoint, 1, FailureCause::Failed));
+    assert!(!budget.try_spend(&customer, &endpoint, MAX_ATTEMPTS, FailureCause::Crashed));
     assert!(budget.is_empty());
 }
--- a/crates/daemon/src/entry/context.rs
+++ b/crates/daemon/src/entry/context.rs
@@ -10,7 +10,9 @@
 };
 
 use async_std::task;
-use tarragonhill_core::{Clock, Code, Refusal, Request, message::Ask, placement::Policy, quarantine::Strike};
+use tarragonhill_core::{
+    Clock, Code, Refusal, Request, message::PeerRequest, placement::Policy, quarantine::CrashStatus,
+};
 use tarragonhill_table::Table;
 
 use crate::{
@@ -25,7 +27,7 @@
 pub(crate) struct Context {
     pub(crate) name: Arc<str>,
     pub(crate) first_token: Duration,
-    pub(crate) patience: Duration,
+    pub(crate) first_token_timeout: Duration,
     pub(crate) rate_wait: Duration,
     pub(crate) policy: Policy,
     pub(crate) operator_token: Option<Arc<str>>,
@@ -49,9 +51,8 @@
     /// check, so that a process that was paused notices when it wakes up.
     pub(crate) fn check_serving(&self) -> Result<(), Refusal> {
         if self.leaving.load(Ordering::Relaxed) {
-            return Err(
-                Refusal::not_run(Code::ShuttingDown, "this entry is shutting down").retry_after(CATCH_UP)
-            );
+            return Err(Refusal::not_run(Code::ShuttingDown, "this entry is shutting down")
+                .with_retry_after(CATCH_UP));
         }
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let now = self.clock.now();
@@ -59,19 +60,19 @@
             return Ok(());
         }
         let message = "this entry cannot tell whether its settings are the newest";
-        Err(Refusal::not_run(Code::SettingsUnconfirmed, message).retry_after(CATCH_UP))
+        Err(Refusal::not_run(Code::SettingsUnconfirmed, message).with_retry_after(CATCH_UP))
     }
 
     /// Counts a crash here and tells all other entries, so that sending the request again through
     /// another one does not start the count anew. Crashes are rare, so telling all costs little.
-    pub(crate) async fn strike(self: &Arc<Self>, customer: &Arc<str>, fingerprint: u64) -> Strike {
+    pub(crate) async fn report_crash(self: &Arc<Self>, customer: &Arc<str>, fingerprint: u64) -> CrashStatus {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
         for address in self.control.addresses((*entries).clone()).await.into_values() {
             let context = self.clone();
-            let ask = Ask::Strike { customer: customer.clone(), fingerprint, crashed: true };
+            let ask = PeerRequest::CrashStatus { customer: customer.clone(), fingerprint, crashed: true };
             task::spawn(async move { context.peers.ask(&address, &context.name, ask).await });
         }
-        self.control.strike(customer, fingerprint, true).await
+        self.control.crash_status(customer, fingerprint, true).await
     }
 
     /// Sets the other entries known.
--- a/crates/daemon/src/entry/control.rs
+++ b/crates/daemon/src/entry/control.rs
@@ -11,9 +11,9 @@
 use serde_json::Value;
 use tarragonhill_core::{
     Attempt, Request, Time, home,
-    message::{Answer, Ask, Breakage, Load},
+    message::{FailureCause, Load, PeerReply, PeerRequest},
     placement::Need,
-    quarantine::Strike,
+    quarantine::CrashStatus,
     quota::{Admission, Grant, Waiter},
     settings::{Role, Snapshot},
 };
@@ -59,7 +59,7 @@
     pub(crate) customer: Arc<str>,
     pub(crate) endpoint: Arc<str>,
     pub(crate) number: u32,
-    pub(crate) cause: Breakage,
+    pub(crate) cause: FailureCause,
 }
 
 /// What the thread is asked.
@@ -76,9 +76,9 @@
     Link(Vec<Arc<str>>, bool),
     Earn(Arc<str>, Arc<str>),
     Retry(Failure, Sender<bool>),
-    Strike(Arc<str>, u64, bool, Sender<Strike>),
+    CrashStatus(Arc<str>, u64, bool, Sender<CrashStatus>),
     Clear(Arc<str>, u64),
-    Ask(Arc<str>, Ask, Sender<Answer>),
+    PeerRequest(Arc<str>, PeerRequest, Sender<PeerReply>),
     Lent(Arc<str>, u64, Option<Grant>),
     Renewal(Sender<home::Write>),
     Renewed(Time),
@@ -171,9 +171,15 @@
     }
 
     /// Counts a crash, or looks up those counted.
-    pub(crate) async fn strike(&self, customer: &Arc<str>, fingerprint: u64, crashed: bool) -> Strike {
-        let strike = self.ask(|reply| Command::Strike(customer.clone(), fingerprint, crashed, reply)).await;
-        strike.unwrap_or_default()
+    pub(crate) async fn crash_status(
+        &self,
+        customer: &Arc<str>,
+        fingerprint: u64,
+        crashed: bool,
+    ) -> CrashStatus {
+        let status =
+            self.ask(|reply| Command::CrashStatus(customer.clone(), fingerprint, crashed, reply)).await;
+        status.unwrap_or_default()
     }
 
     /// Clears a suspect that ran to its end.
@@ -182,8 +188,8 @@
     }
 
     /// Answers another entry.
-    pub(crate) async fn answer(&self, from: Arc<str>, ask: Ask) -> Option<Answer> {
-        self.ask(|reply| Command::Ask(from, ask, reply)).await
+    pub(crate) async fn answer(&self, from: Arc<str>, ask: PeerRequest) -> Option<PeerReply> {
+        self.ask(|reply| Command::PeerRequest(from, ask, reply)).await
     }
 
     /// Hands a home's reply in; none if it could not be reached or is elsewhere.
--- a/crates/daemon/src/entry/stages/plan.rs
+++ b/crates/daemon/src/entry/stages/plan.rs
@@ -23,7 +23,7 @@
 const ANSWER_GRACE: Duration = Duration::from_millis(500);
 /// Patience of suspects of a crash. They run one at a time, and most of them are innocent and have
 /// been paid for.
-const SUSPECT_PATIENCE: Duration = Duration::from_secs(30);
+const SUSPECT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Slack of the baselines, which know no early refusal.
 const NO_SLACK: Duration = Duration::from_secs(30);
 
@@ -52,25 +52,29 @@
         prompt_tokens: completion.prompt_tokens(),
         max_tokens: completion.max_tokens,
         slack: slack(context, ticket),
-        patience: patience(context, ticket),
+        timeout: remaining_timeout(context, ticket),
         suspect: ticket.suspect,
     }
 }
 
 /// Time left until the first token is due.
 pub(super) fn slack(context: &Context, ticket: &Ticket) -> Duration {
-    if !context.policy.holds() {
+    if !context.policy.uses_holds() {
         return NO_SLACK;
     }
     context.first_token.saturating_sub(context.clock.now().since(ticket.waiting))
 }
 
 /// Time left until the request is given up.
-pub(super) fn patience(context: &Context, ticket: &Ticket) -> Duration {
-    if !context.policy.holds() {
+pub(super) fn remaining_timeout(context: &Context, ticket: &Ticket) -> Duration {
+    if !context.policy.uses_holds() {
         return NO_SLACK;
     }
-    let all = if ticket.suspect { context.patience.max(SUSPECT_PATIENCE) } else { context.patience };
+    let all = if ticket.suspect {
+        context.first_token_timeout.max(SUSPECT_TIMEOUT)
+    } else {
+        context.first_token_timeout
+    };
     all.saturating_sub(context.clock.now().since(ticket.waiting))
 }
 
@@ -92,11 +96,11 @@
         tried: tried.clone(),
     };
     let placed = context.control.place(placement).await.ok_or_else(no_endpoint)?;
-    if !context.policy.holds() {
+    if !context.policy.uses_holds() {
         return Ok(Planned { decode: placed, ready_in: Duration::ZERO, held: false });
     }
     let work = work(context, ticket, completion, dispatch, &placed.endpoint);
-    let limit = work.patience + ANSWER_GRACE;
+    let limit = work.timeout + ANSWER_GRACE;
     let order = Order::Hold { work, ahead: context.policy.promises_ahead() };
     dispatch.send(&placed.agent, &placed.endpoint, order)?;
     loop {
@@ -109,5 +113,5 @@
 /// The refusal when no endpoint can be chosen.
 pub(super) fn no_endpoint() -> Failure {
     let refusal = Refusal::not_run(Code::NoEndpoint, "no endpoint can take this work now");
-    Failure::Refused(refusal.retry_after(Duration::from_secs(1)))
+    Failure::Refused(refusal.with_retry_after(Duration::from_secs(1)))
 }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -5,7 +5,7 @@
 use tarragonhill_core::{
     clock::micros,
     id::{Attempt, Request},
-    message::{Answer, Ask, Beat, Event, Load, Order, Work},
+    message::{Event, Heartbeat, Load, Order, PeerReply, PeerRequest, Work},
 };
 
 use crate::proto::{self, event, order, peer_reply, peer_request};
@@ -70,7 +70,7 @@
             prompt_tokens: work.prompt_tokens,
             max_tokens: work.max_tokens,
             slack_us: micros(work.slack),
-            patience_us: micros(work.patience),
+            patience_us: micros(work.timeout),
             suspect: work.suspect,
         }
     }
@@ -86,28 +86,28 @@
         prompt_tokens: sent.prompt_tokens,
         max_tokens: sent.max_tokens,
         slack: Duration::from_micros(sent.slack_us),
-        patience: Duration::from_micros(sent.patience_us),
+        timeout: Duration::from_micros(sent.patience_us),
         suspect: sent.suspect,
     })
 }
 
-impl From<Beat> for proto::Beat {
-    fn from(beat: Beat) -> Self {
+impl From<Heartbeat> for proto::Beat {
+    fn from(heartbeat: Heartbeat) -> Self {
         Self {
-            version: beat.version,
-            age_us: micros(beat.age),
-            every_us: micros(beat.every),
-            loads: beat.loads.into_iter().map(proto::Load::from).collect(),
+            version: heartbeat.version,
+            age_us: micros(heartbeat.age),
+            every_us: micros(heartbeat.interval),
+            loads: heartbeat.loads.into_iter().map(proto::Load::from).collect(),
         }
     }
 }
 
-impl From<proto::Beat> for Beat {
+impl From<proto::Beat> for Heartbeat {
     fn from(sent: proto::Beat) -> Self {
         Self {
             version: sent.version,
             age: Duration::from_micros(sent.age_us),
-            every: Duration::from_micros(sent.every_us),
+            interval: Duration::from_micros(sent.every_us),
             loads: sent.loads.into_iter().map(Load::from).collect(),
         }
     }
@@ -144,10 +144,10 @@
         let body = match message {
             Order::Hello { entry } => order::Body::Hello(proto::Hello { entry: entry.to_string() }),
             Order::Hold { work, ahead } => order::Body::Hold(proto::Hold { work: Some(work.into()), ahead }),
-            Order::Prefill { work, prompt, wait } => order::Body::Prefill(proto::Prefill {
+            Order::Prefill { work, prompt, delay } => order::Body::Prefill(proto::Prefill {
                 work: Some(work.into()),
                 prompt: prompt.to_string(),
-                wait_us: micros(wait),
+                wait_us: micros(delay),
             }),
             Order::Decode { work, source, kv, from_index, held } => order::Body::Decode(proto::Decode {
                 work: Some(work.into()),
@@ -164,7 +164,7 @@
                 idempotency_key: idempotency_key.to_string(),
             }),
             Order::Cancel(attempt) => order::Body::Cancel(attempt.into()),
-            Order::Beat(beat) => order::Body::Beat(beat.into()),
+            Order::Heartbeat(heartbeat) => order::Body::Beat(heartbeat.into()),
         };
         Self { body: Some(body) }
     }
@@ -180,7 +180,7 @@
             order::Body::Prefill(prefill) => Self::Prefill {
                 work: work(prefill.work)?,
                 prompt: prefill.prompt.into(),
-                wait: Duration::from_micros(prefill.wait_us),
+                delay: Duration::from_micros(prefill.wait_us),
             },
             order::Body::Decode(decode) => Self::Decode {
                 work: work(decode.work)?,
@@ -197,7 +197,7 @@
                 idempotency_key: call.idempotency_key.into(),
             },
             order::Body::Cancel(attempt) => Self::Cancel(attempt.into()),
-            order::Body::Beat(beat) => Self::Beat(beat.into()),
+            order::Body::Beat(heartbeat) => Self::Heartbeat(heartbeat.into()),
         })
     }
 }
@@ -215,11 +215,11 @@
                 not_run,
                 retry_after_us: micros(retry_after),
             }),
-            Event::Prefilled { attempt, source, kv, lives } => event::Body::Prefilled(proto::Prefilled {
+            Event::Prefilled { attempt, source, kv, ttl } => event::Body::Prefilled(proto::Prefilled {
                 attempt: Some(attempt.into()),
                 source: source.to_string(),
                 kv: kv.to_string(),
-                lives_us: micros(lives),
+                lives_us: micros(ttl),
             }),
             Event::Tokens { attempt, first_index, texts } => event::Body::Tokens(proto::Tokens {
                 attempt: Some(attempt.into()),
@@ -229,7 +229,7 @@
             Event::Ended { attempt, total } => {
                 event::Body::Ended(proto::Ended { attempt: Some(attempt.into()), total })
             }
-            Event::Broken { attempt, cause } => {
+            Event::Failed { attempt, cause } => {
                 event::Body::Broken(proto::Broken { attempt: Some(attempt.into()), code: cause.to_string() })
             }
             Event::Answered { attempt, status, body } => event::Body::Answered(proto::Answered {
@@ -237,7 +237,7 @@
                 status: status.into(),
                 body,
             }),
-            Event::Beat(beat) => event::Body::Beat(beat.into()),
+            Event::Heartbeat(heartbeat) => event::Body::Beat(heartbeat.into()),
         };
         Self { body: Some(body) }
     }
@@ -262,7 +262,7 @@
                 attempt: attempt(done.attempt)?,
                 source: done.source.into(),
                 kv: done.kv.into(),
-                lives: Duration::from_micros(done.lives_us),
+                ttl: Duration::from_micros(done.lives_us),
             },
             event::Body::Tokens(tokens) => Self::Tokens {
                 attempt: attempt(tokens.attempt)?,
@@ -271,22 +271,22 @@
             },
             event::Body::Ended(ended) => Self::Ended { attempt: attempt(ended.attempt)?, total: ended.total },
             event::Body::Broken(broken) => {
-                Self::Broken { attempt: attempt(broken.attempt)?, cause: named("breakage", &broken.code)? }
+                Self::Failed { attempt: attempt(broken.attempt)?, cause: named("breakage", &broken.code)? }
             }
             event::Body::Answered(answered) => Self::Answered {
                 attempt: attempt(answered.attempt)?,
                 status: status(answered.status)?,
                 body: answered.body,
             },
-            event::Body::Beat(beat) => Self::Beat(beat.into()),
+            event::Body::Beat(heartbeat) => Self::Heartbeat(heartbeat.into()),
         })
     }
 }
 
-impl From<Ask> for peer_request::Body {
-    fn from(ask: Ask) -> Self {
+impl From<PeerRequest> for peer_request::Body {
+    fn from(ask: PeerRequest) -> Self {
         match ask {
-            Ask::Borrow { customer, loan } => Self::Borrow(proto::Borrow {
+            PeerRequest::Borrow { customer, loan } => Self::Borrow(proto::Borrow {
                 customer: customer.to_string(),
                 tokens: loan.tokens,
                 minimum: loan.minimum,
@@ -294,17 +294,17 @@
                 refund: loan.refund,
                 serial: loan.serial,
             }),
-            Ask::Beat(beat) => Self::Beat(beat.into()),
-            Ask::Strike { customer, fingerprint, crashed } => {
+            PeerRequest::Heartbeat(heartbeat) => Self::Beat(heartbeat.into()),
+            PeerRequest::CrashStatus { customer, fingerprint, crashed } => {
                 Self::Strike(proto::Strike { customer: customer.to_string(), fingerprint, crashed })
             }
-            Ask::Renew { incarnation } => Self::Renew(proto::Renew { incarnation }),
-            Ask::Look => Self::Look(proto::Look {}),
+            PeerRequest::Renew { incarnation } => Self::Renew(proto::Renew { incarnation }),
+            PeerRequest::RefreshShards => Self::Look(proto::Look {}),
         }
     }
 }
 
-impl TryFrom<peer_request::Body> for Ask {
+impl TryFrom<peer_request::Body> for PeerRequest {
     type Error = DecodeError;
 
     fn try_from(sent: peer_request::Body) -> Result<Self, Self::Error> {
@@ -319,34 +319,34 @@
                     serial: borrow.serial,
                 },
             },
-            peer_request::Body::Beat(beat) => Self::Beat(beat.into()),
-            peer_request::Body::Strike(strike) => Self::Strike {
+            peer_request::Body::Beat(heartbeat) => Self::Heartbeat(heartbeat.into()),
+            peer_request::Body::Strike(strike) => Self::CrashStatus {
                 customer: strike.customer.into(),
                 fingerprint: strike.fingerprint,
                 crashed: strike.crashed,
             },
             peer_request::Body::Renew(renew) => Self::Renew { incarnation: renew.incarnation },
-            peer_request::Body::Look(proto::Look {}) => Self::Look,
+            peer_request::Body::Look(proto::Look {}) => Self::RefreshShards,
         })
     }
 }
 
-impl From<Answer> for proto::PeerReply {
-    fn from(answer: Answer) -> Self {
+impl From<PeerReply> for proto::PeerReply {
+    fn from(answer: PeerReply) -> Self {
         let body = match answer {
-            Answer::Lent(grant) => peer_reply::Body::Lent(proto::Lent {
+            PeerReply::Lent(grant) => peer_reply::Body::Lent(proto::Lent {
                 tokens: grant.tokens,
                 term_us: micros(grant.term),
                 retry_after_us: micros(grant.retry_after),
             }),
-            Answer::Beat(beat) => peer_reply::Body::Beat(beat.into()),
-            Answer::Struck(strike) => peer_reply::Body::Struck(proto::Struck {
-                crashes: strike.crashes,
-                quarantined_us: micros(strike.quarantined),
+            PeerReply::Heartbeat(heartbeat) => peer_reply::Body::Beat(heartbeat.into()),
+            PeerReply::CrashStatus(status) => peer_reply::Body::Struck(proto::Struck {
+                crashes: status.crashes,
+                quarantined_us: micros(status.quarantined),
             }),
-            Answer::Noted => peer_reply::Body::Noted(proto::Noted {}),
-            Answer::Renewed { granted } => peer_reply::Body::Renewed(proto::Renewed { granted }),
-            Answer::NotHome { owner, epoch } => {
+            PeerReply::Acknowledged => peer_reply::Body::Noted(proto::Noted {}),
+            PeerReply::Renewed { granted } => peer_reply::Body::Renewed(proto::Renewed { granted }),
+            PeerReply::NotHome { owner, epoch } => {
                 peer_reply::Body::NotHome(proto::NotHome { owner: owner.to_string(), epoch })
             }
         };
@@ -354,7 +354,7 @@
     }
 }
 
-impl TryFrom<proto::PeerReply> for Answer {
+impl TryFrom<proto::PeerReply> for PeerReply {
     type Error = DecodeError;
 
     fn try_from(sent: proto::PeerReply) -> Result<Self, Self::Error> {
@@ -364,12 +364,14 @@
                 term: Duration::from_micros(lent.term_us),
                 retry_after: Duration::from_micros(lent.retry_after_us),
             }),
-            peer_reply::Body::Beat(beat) => Self::Beat(beat.into()),
-            peer_reply::Body::Struck(struck) => Self::Struck(tarragonhill_core::quarantine::Strike {
-                crashes: struck.crashes,
-                quarantined: Duration::from_micros(struck.quarantined_us),
-            }),
-            peer_reply::Body::Noted(proto::Noted {}) => Self::Noted,
+            peer_reply::Body::Beat(heartbeat) => Self::Heartbeat(heartbeat.into()),
+            peer_reply::Body::Struck(struck) => {
+                Self::CrashStatus(tarragonhill_core::quarantine::CrashStatus {
+                    crashes: struck.crashes,
+                    quarantined: Duration::from_micros(struck.quarantined_us),
+                })
+            }
+            peer_reply::Body::Noted(proto::Noted {}) => Self::Acknowledged,
             peer_reply::Body::Renewed(renewed) => Self::Renewed { granted: renewed.granted },
             peer_reply::Body::NotHome(elsewhere) => {
                 Self::NotHome { owner: elsewhere.owner.into(), epoch: elsewhere.epoch }
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -13,8 +13,8 @@
         staleness::Versions,
         state::Listing,
     },
-    message::{Answer, Ask, Beat, Breakage, Event, Load, Order, Work},
-    quarantine::Strike,
+    message::{Event, FailureCause, Heartbeat, Load, Order, PeerReply, PeerRequest, Work},
+    quarantine::CrashStatus,
     quota::{Grant, LoanRequest},
 };
 use tarragonhill_wire::{DecodeError, proto};
@@ -38,12 +38,12 @@
         prompt_tokens: 7,
         max_tokens: 8,
         slack: SPAN,
-        patience: SPAN * 2,
+        timeout: SPAN * 2,
         suspect: true,
     }
 }
 
-fn beat() -> Beat {
+fn heartbeat() -> Heartbeat {
     let load = Load {
         endpoint: name("decode"),
         free_pieces: 1,
@@ -52,7 +52,7 @@
         running: 4,
         leaving: true,
     };
-    Beat { version: 9, age: SPAN, every: SPAN, loads: vec![load] }
+    Heartbeat { version: 9, age: SPAN, interval: SPAN, loads: vec![load] }
 }
 
 #[test]
@@ -60,7 +60,7 @@
     for order in [
         Order::Hello { entry: name("entry") },
         Order::Hold { work: work(), ahead: true },
-        Order::Prefill { work: work(), prompt: name("prompt"), wait: SPAN },
+        Order::Prefill { work: work(), prompt: name("prompt"), delay: SPAN },
         Order::Decode { work: work(), source: name("a"), kv: name("b"), from_index: 5, held: true },
         Order::Call {
             work: work(),
@@ -70,7 +70,7 @@
             idempotency_key: name("k"),
         },
         Order::Cancel(attempt()),
-        Order::Beat(beat()),
+        Order::Heartbeat(heartbeat()),
     ] {
         assert_eq!(Order::try_from(proto::Order::from(order.clone())), Ok(order));
     }
@@ -82,12 +82,12 @@
     for event in [
         Event::Held { attempt, ready_in: SPAN },
         Event::Refused { attempt, code: Code::Overloaded, not_run: true, retry_after: SPAN },
-        Event::Prefilled { attempt, source: name("a"), kv: name("b"), lives: SPAN },
+        Event::Prefilled { attempt, source: name("a"), kv: name("b"), ttl: SPAN },
         Event::Tokens { attempt, first_index: 4, texts: vec![name("x"), name("y")] },
         Event::Ended { attempt, total: 6 },
-        Event::Broken { attempt, cause: Breakage::Evicted },
+        Event::Failed { attempt, cause: FailureCause::Evicted },
         Event::Answered { attempt, status: 204, body: vec![1] },
-        Event::Beat(beat()),
+        Event::Heartbeat(heartbeat()),
     ] {
         assert_eq!(Event::try_from(proto::Event::from(event.clone())), Ok(event));
     }
@@ -97,23 +97,23 @@
 fn questions_and_answers_of_peers_survive() {
     let loan = LoanRequest { tokens: 1, minimum: 2, unspent: 3, refund: 4, serial: 5 };
     for ask in [
-        Ask::Borrow { customer: name("faculty"), loan },
-        Ask::Beat(beat()),
-        Ask::Strike { customer: name("faculty"), fingerprint: u64::MAX, crashed: true },
-        Ask::Renew { incarnation: 8 },
-        Ask::Look,
+        PeerRequest::Borrow { customer: name("faculty"), loan },
+        PeerRequest::Heartbeat(heartbeat()),
+        PeerRequest::CrashStatus { customer: name("faculty"), fingerprint: u64::MAX, crashed: true },
+        PeerRequest::Renew { incarnation: 8 },
+        PeerRequest::RefreshShards,
     ] {
-        assert_eq!(Ask::try_from(proto::peer_request::Body::from(ask.clone())), Ok(ask));
+        assert_eq!(PeerRequest::try_from(proto::peer_request::Body::from(ask.clone())), Ok(ask));
     }
     for answer in [
-        Answer::Lent(Grant { tokens: 1, term: SPAN, retry_after: SPAN }),
-        Answer::Beat(beat()),
-        Answer::Struck(Strike { crashes: 2, quarantined: SPAN }),
-        Answer::Renewed { granted: true },
-        Answer::Noted,
-        Answer::NotHome { owner: name("entry"), epoch: 3 },
+        PeerReply::Lent(Grant { tokens: 1, term: SPAN, retry_after: SPAN }),
+        PeerReply::Heartbeat(heartbeat()),
+        PeerReply::CrashStatus(CrashStatus { crashes: 2, quarantined: SPAN }),
+        PeerReply::Renewed { granted: true },
+        PeerReply::Acknowledged,
+        PeerReply::NotHome { owner: name("entry"), epoch: 3 },
     ] {
-        assert_eq!(Answer::try_from(proto::PeerReply::from(answer.clone())), Ok(answer));
+        assert_eq!(PeerReply::try_from(proto::PeerReply::from(answer.clone())), Ok(answer));
     }
 }
 
