--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -1,10 +1,8 @@
-//! Decisions for requests that are passed on as they come: which route and customer they belong
-//! to, whether the customer may spend, where they run, and when they run again.
+//! Routing decisions of the gateway: authentication, rate limits, placement and retries.
 //!
-//! All entries decide alike from the same inputs: the operator's [`catalog`], the [`directory`] of
-//! endpoints, and the [`digest`]s that entries send each other. None of them waits for another.
+//! Several replicas of the gateway run side by side. Each decides alone, from the operator's
+//! [`catalog`], the [`directory`] of endpoints and the [`digest`]s that replicas exchange.
 
-pub mod allowance;
 pub mod budget;
 pub mod catalog;
 pub mod completion;
@@ -13,12 +11,13 @@
 pub mod forecast;
 pub mod growth;
 pub mod health;
-pub mod knowledge;
 pub mod lease;
 pub mod load;
 pub mod placement;
 pub mod pools;
 pub mod queue;
+pub mod rate_limit;
+pub mod snapshot;
 pub mod staleness;
 pub mod state;
 pub mod suspect;
--- a/crates/core/src/gateway/load.rs
+++ b/crates/core/src/gateway/load.rs
@@ -75,7 +75,8 @@
         fresh.fold(self.local, |sum, (at, share)| Share {
             running: sum.running + share.running,
             memory: sum.memory + share.memory,
-            reading: sum.reading + if now.since(*at) < PREFILL_STALE { share.reading } else { 0 },
+            prefill_tokens: sum.prefill_tokens
+                + if now.since(*at) < PREFILL_STALE { share.prefill_tokens } else { 0 },
             growth: sum.growth + share.growth,
         })
     }
@@ -90,13 +91,13 @@
     /// requests, so this detects a failing endpoint sooner.
     pub fn failure_ratio(&self, now: Time) -> f64 {
         let fresh = self.peer_failure_ratios.values().filter(|(at, _)| now.since(*at) < STALE);
-        fresh.map(|(_, ratio)| f64::from(*ratio) / 1_000.0).fold(self.health.failing(now), f64::max)
+        fresh.map(|(_, ratio)| f64::from(*ratio) / 1_000.0).fold(self.health.failure_ratio(now), f64::max)
     }
 
     /// Returns whether a decode endpoint may start a local prefill: none is in flight, and its runs
     /// had time to progress since the last one.
     pub fn is_ready_for_prefill(&self, now: Time) -> bool {
-        self.prefill_ready_at <= now && self.total(now).reading == 0
+        self.prefill_ready_at <= now && self.total(now).prefill_tokens == 0
     }
 
     /// Returns whether the endpoint refused a run for lack of memory a moment ago.
@@ -119,7 +120,7 @@
 impl Lease {
     /// Removes the prompt from the lease once it has been processed.
     pub fn clear_prefill(&mut self) {
-        self.share.reading = 0;
+        self.share.prefill_tokens = 0;
     }
 }
 
@@ -149,8 +150,8 @@
         let load = self.0.entry(endpoint.clone()).or_default();
         load.local.running += share.running;
         load.local.memory += share.memory;
-        load.local.reading += share.reading;
-        let number = load.health.sent(now);
+        load.local.prefill_tokens += share.prefill_tokens;
+        let number = load.health.record_start(now);
         if share.memory > 0 {
             load.runs.insert(number, Run { memory: share.memory, output, generated: 0 });
             load.update_growth();
@@ -163,11 +164,11 @@
     /// gets no other for `pause`.
     pub fn record_first_event(&mut self, now: Time, lease: &Lease, pause: Duration) {
         if let Some(load) = self.0.get_mut(&lease.endpoint) {
-            load.local.reading = load.local.reading.saturating_sub(lease.share.reading);
-            if lease.share.reading > 0 {
+            load.local.prefill_tokens = load.local.prefill_tokens.saturating_sub(lease.share.prefill_tokens);
+            if lease.share.prefill_tokens > 0 {
                 load.prefill_ready_at = now.plus(pause);
             }
-            load.health.ended(now, lease.number, Outcome::Answered(now.since(lease.sent_at)));
+            load.health.record_end(now, lease.number, Outcome::Answered(now.since(lease.sent_at)));
         }
     }
 
@@ -185,12 +186,12 @@
         let Some(load) = self.0.get_mut(&lease.endpoint) else { return };
         load.local.running = load.local.running.saturating_sub(lease.share.running);
         load.local.memory = load.local.memory.saturating_sub(lease.share.memory);
-        load.local.reading = load.local.reading.saturating_sub(lease.share.reading);
-        load.health.ended(now, lease.number, outcome);
+        load.local.prefill_tokens = load.local.prefill_tokens.saturating_sub(lease.share.prefill_tokens);
+        load.health.record_end(now, lease.number, outcome);
         if load.runs.remove(&lease.number).is_some() {
             load.update_growth();
         }
-        if matches!(outcome, Outcome::Full | Outcome::Refused | Outcome::TurnedAway) {
+        if matches!(outcome, Outcome::Full | Outcome::Refused | Outcome::ReservationRejected) {
             load.full_until = now.plus(FULL_DURATION);
         }
     }
@@ -201,7 +202,7 @@
             load.peers.remove(&digest.name);
             load.peer_failure_ratios.remove(&digest.name);
         }
-        for (endpoint, ratio) in &digest.failing {
+        for (endpoint, ratio) in &digest.failure_permille {
             let load = self.0.entry(endpoint.clone()).or_default();
             load.peer_failure_ratios.insert(digest.name.clone(), (now, *ratio));
         }
@@ -220,7 +221,7 @@
     /// Returns this replica's failure ratios by endpoint, in thousandths, where high enough to
     /// report.
     pub fn local_failure_ratios(&self, now: Time) -> BTreeMap<Arc<str>, u16> {
-        let ratios = self.0.iter().map(|(endpoint, load)| (endpoint, load.health.failing(now)));
+        let ratios = self.0.iter().map(|(endpoint, load)| (endpoint, load.health.failure_ratio(now)));
         let reported = ratios.filter(|(_, ratio)| *ratio >= MIN_REPORTED_FAILURE_RATIO);
         reported.map(|(endpoint, ratio)| (endpoint.clone(), (ratio * 1_000.0) as u16)).collect()
     }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -124,7 +124,7 @@
 
     /// Returns whether the request may be retried after `runs` endpoints may have run it.
     pub(crate) fn may_retry(&self, runs: u32) -> bool {
-        self.route.is_repeatable() && runs < self.route.attempts
+        self.route.is_repeatable() && runs < self.route.max_attempts
     }
 
     /// Sends the request to an endpoint and waits for the response head, for at most `limit`.
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use tarragonhill_core::{
     Refusal, Time,
-    gateway::{directory::Endpoint, forecast::Observation, health::Outcome, state::COME_BACK},
+    gateway::{directory::Endpoint, forecast::Observation, health::Outcome, state::ENDPOINT_RETRY_AFTER},
     refusal::Code,
 };
 use tarragonhill_h1::head::Response;
@@ -194,7 +194,7 @@
 /// Ends a request that may not be retried any more.
 fn give_up(inbound: &Inbound, writer: &ResponseWriter, reason: String) -> Result<(), Refusal> {
     if writer.is_unsent() && !inbound.may_have_run() {
-        return Err(Refusal::not_run(Code::Overloaded, reason).with_retry_after(COME_BACK));
+        return Err(Refusal::not_run(Code::Overloaded, reason).with_retry_after(ENDPOINT_RETRY_AFTER));
     }
     cut(inbound, writer, reason).map(|_| ())
 }
@@ -256,7 +256,7 @@
 ) -> Result<Upstream<'a>, Abort> {
     inbound.mark_sent();
     let (began, start) = (context.clock.now(), Start::of(&task));
-    let sent = inbound.send(context, endpoint, task, inbound.route.silence + SILENCE_SLACK).await;
+    let sent = inbound.send(context, endpoint, task, inbound.route.stall_timeout + SILENCE_SLACK).await;
     let exchange = match sent {
         Ok(exchange) => exchange,
         Err(Failure::Connect(error)) => {
@@ -273,7 +273,12 @@
     if exchange.reply.not_run || status == MISDIRECTED {
         inbound.mark_not_run();
         let reason = format!("{} did not run the request, status {status}", endpoint.id);
-        permit.finish(not_run_outcome(&exchange.head, &exchange.reply, endpoint, Outcome::TurnedAway));
+        permit.finish(not_run_outcome(
+            &exchange.head,
+            &exchange.reply,
+            endpoint,
+            Outcome::ReservationRejected,
+        ));
         // Reading the body allows the connection to be reused.
         let _ = exchange.read_whole().await;
         return Err(Abort::NotRun(reason));
--- a/crates/gateway/src/stream/prefill.rs
+++ b/crates/gateway/src/stream/prefill.rs
@@ -49,7 +49,7 @@
         let prompt = Prompt {
             service: inbound.service().clone(),
             tokens: inbound.size().prompt,
-            ttft_target: inbound.route.aim,
+            ttft_target: inbound.route.target_latency,
             zone: zone.clone(),
             avoid: avoid.clone(),
         };
@@ -67,7 +67,7 @@
     endpoint: &Arc<Endpoint>,
 ) -> Result<Arc<str>, Failure> {
     let began = context.clock.now();
-    let sent = inbound.send(context, endpoint, Task::Prefill, permit.limit).await;
+    let sent = inbound.send(context, endpoint, Task::Prefill, permit.prefill_timeout).await;
     let exchanged = match sent {
         Ok(exchange) => exchange.read_whole().await,
         Err(failure) => Err(failure),
@@ -77,7 +77,7 @@
             let result = context.dialect.decode_prefill(&body);
             if result.is_some() {
                 let took = context.clock.now().since(began);
-                permit.observe(Observation::Prefill { tokens: permit.tokens, took });
+                permit.observe(Observation::Prefill { tokens: permit.prefill_tokens, took });
                 permit.record_response();
             }
             result.ok_or(Failure::InvalidResponse("the name of the prefill result is missing"))
@@ -85,7 +85,7 @@
         Ok((head, reply, _)) => {
             let is_not_run = reply.not_run || head.status == MISDIRECTED;
             permit.finish(if is_not_run {
-                not_run_outcome(&head, &reply, endpoint, Outcome::TurnedAway)
+                not_run_outcome(&head, &reply, endpoint, Outcome::ReservationRejected)
             } else {
                 Outcome::Failed
             });
@@ -95,7 +95,7 @@
             let is_unsent = matches!(failure, Failure::Connect(_));
             if matches!(failure, Failure::Timeout) {
                 let waited = context.clock.now().since(began);
-                permit.observe(Observation::PrefillTimeout { tokens: permit.tokens, waited });
+                permit.observe(Observation::PrefillTimeout { tokens: permit.prefill_tokens, waited });
             }
             if !is_unsent {
                 context.control.record_failure(&endpoint.id, inbound.admission.fingerprint);
--- a/crates/gateway/src/stream/relay.rs
+++ b/crates/gateway/src/stream/relay.rs
@@ -119,12 +119,12 @@
 /// Reads the next chunk of a response. A connection may fall silent without being closed, for example when a
 /// middlebox loses its state; without a timeout, its memory would stay reserved until the deadline.
 async fn next_chunk(inbound: &Inbound, exchange: &mut Exchange<'_>) -> Result<Option<Bytes>, Failure> {
-    let limit = if !inbound.route.resumable {
-        inbound.route.silence + SILENCE_SLACK
-    } else if inbound.route.gap.is_zero() {
+    let limit = if !inbound.route.is_resumable {
+        inbound.route.stall_timeout + SILENCE_SLACK
+    } else if inbound.route.target_gap.is_zero() {
         DEFAULT_STALL_TIMEOUT
     } else {
-        inbound.route.gap * STALL_GAPS
+        inbound.route.target_gap * STALL_GAPS
     };
     timeout(limit, exchange.next_chunk()).await.unwrap_or(Err(Failure::Timeout))
 }
--- a/crates/wire/src/knowledge.rs
+++ b/crates/wire/src/knowledge.rs
@@ -8,7 +8,7 @@
 use flate2::{Compression, read::ZlibDecoder, write::ZlibEncoder};
 use tarragonhill_core::gateway::{
     directory::{Endpoint, Row},
-    knowledge::Knowledge,
+    snapshot::Snapshot,
     staleness::Versions,
     state::Listing,
 };
@@ -41,46 +41,45 @@
     Ok(inflated)
 }
 
-impl From<&Knowledge> for proto::Knowledge {
-    fn from(knowledge: &Knowledge) -> Self {
-        let endpoints = knowledge.listing.rows.iter().filter_map(|row| {
+impl From<&Snapshot> for proto::Knowledge {
+    fn from(snapshot: &Snapshot) -> Self {
+        let endpoints = snapshot.listing.rows.iter().filter_map(|row| {
             let endpoint = row.endpoint.as_ref()?;
             Some(proto::Listed {
                 id: row.id.to_string(),
                 version: row.version,
                 sequence: row.sequence,
-                born: endpoint.born,
+                born: endpoint.started_ms,
                 service: endpoint.service.to_string(),
                 address: endpoint.address.to_string(),
                 zone: endpoint.zone.to_string(),
                 stage: endpoint.stage.to_string(),
                 slots: endpoint.slots,
-                leaving: endpoint.leaving,
+                leaving: endpoint.is_draining,
             })
         });
         Self {
-            order: knowledge.versions.configuration,
-            configuration: deflate(&knowledge.configuration),
-            list: knowledge.listing.version,
+            order: snapshot.versions.configuration,
+            configuration: deflate(&snapshot.configuration),
+            list: snapshot.listing.version,
             endpoints: endpoints.collect(),
-            newest: knowledge.versions.endpoints,
+            newest: snapshot.versions.endpoints,
         }
     }
 }
 
-impl TryFrom<proto::Knowledge> for Knowledge {
+impl TryFrom<proto::Knowledge> for Snapshot {
     type Error = DecodeError;
 
-    fn try_from(knowledge: proto::Knowledge) -> Result<Self, DecodeError> {
-        let rows: Result<Vec<Row>, DecodeError> =
-            knowledge.endpoints.into_iter().map(Row::try_from).collect();
-        let configuration = inflate(&knowledge.configuration);
+    fn try_from(snapshot: proto::Knowledge) -> Result<Self, DecodeError> {
+        let rows: Result<Vec<Row>, DecodeError> = snapshot.endpoints.into_iter().map(Row::try_from).collect();
+        let configuration = inflate(&snapshot.configuration);
         let configuration =
             configuration.map_err(|error| DecodeError::Unknown("configuration", error.to_string()))?;
         Ok(Self {
-            versions: Versions { configuration: knowledge.order, endpoints: knowledge.newest },
+            versions: Versions { configuration: snapshot.order, endpoints: snapshot.newest },
             configuration: configuration.into(),
-            listing: Listing { version: knowledge.list, whole: true, rows: rows? },
+            listing: Listing { version: snapshot.list, is_complete: true, rows: rows? },
         })
     }
 }
@@ -98,13 +97,13 @@
         let stage = listed.stage.parse().map_err(|_| DecodeError::Unknown("stage", listed.stage.clone()))?;
         let endpoint = Endpoint {
             id: id.clone(),
-            born: listed.born,
+            started_ms: listed.born,
             service: listed.service.into(),
             address,
             zone: listed.zone.into(),
             stage,
             slots: listed.slots,
-            leaving: listed.leaving,
+            is_draining: listed.leaving,
         };
         let (version, sequence) = (listed.version, listed.sequence);
         Ok(Self { id, version, sequence, endpoint: Some(Arc::new(endpoint)) })
