--- a/crates/core/src/gateway/load.rs
+++ b/crates/core/src/gateway/load.rs
@@ -60,7 +60,7 @@
     /// Shares of other replicas, with the time of each report.
     peers: BTreeMap<Arc<str>, (Time, Share)>,
     /// Failure ratios reported by other replicas, in thousandths, with the time of each report.
-    peer_failure_ratios: BTreeMap<Arc<str>, (Time, u16)>,
+    peer_failure_permille: BTreeMap<Arc<str>, (Time, u16)>,
     /// Recent outcomes of this replica's requests.
     pub health: Health,
     full_until: Time,
@@ -90,8 +90,10 @@
     /// Returns the highest recent failure ratio reported by any replica. Each replica sees few
     /// requests, so this detects a failing endpoint sooner.
     pub fn failure_ratio(&self, now: Time) -> f64 {
-        let fresh = self.peer_failure_ratios.values().filter(|(at, _)| now.since(*at) < STALE);
-        fresh.map(|(_, ratio)| f64::from(*ratio) / 1_000.0).fold(self.health.failure_ratio(now), f64::max)
+        let fresh = self.peer_failure_permille.values().filter(|(at, _)| now.since(*at) < STALE);
+        fresh
+            .map(|(_, permille)| f64::from(*permille) / 1_000.0)
+            .fold(self.health.failure_ratio(now), f64::max)
     }
 
     /// Returns whether a decode endpoint may start a local prefill: none is in flight, and its runs
@@ -200,11 +202,11 @@
     pub fn merge_digest(&mut self, now: Time, digest: &Digest) {
         for load in self.0.values_mut() {
             load.peers.remove(&digest.name);
-            load.peer_failure_ratios.remove(&digest.name);
+            load.peer_failure_permille.remove(&digest.name);
         }
-        for (endpoint, ratio) in &digest.failure_permille {
+        for (endpoint, permille) in &digest.failure_permille {
             let load = self.0.entry(endpoint.clone()).or_default();
-            load.peer_failure_ratios.insert(digest.name.clone(), (now, *ratio));
+            load.peer_failure_permille.insert(digest.name.clone(), (now, *permille));
         }
         for (endpoint, share) in &digest.shares {
             let load = self.0.entry(endpoint.clone()).or_default();
@@ -220,7 +222,7 @@
 
     /// Returns this replica's failure ratios by endpoint, in thousandths, where high enough to
     /// report.
-    pub fn local_failure_ratios(&self, now: Time) -> BTreeMap<Arc<str>, u16> {
+    pub fn local_failure_permille(&self, now: Time) -> BTreeMap<Arc<str>, u16> {
         let ratios = self.0.iter().map(|(endpoint, load)| (endpoint, load.health.failure_ratio(now)));
         let reported = ratios.filter(|(_, ratio)| *ratio >= MIN_REPORTED_FAILURE_RATIO);
         reported.map(|(endpoint, ratio)| (endpoint.clone(), (ratio * 1_000.0) as u16)).collect()
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -240,7 +240,7 @@
             spent,
             left,
             shares: self.loads.local(),
-            failure_permille: self.loads.local_failure_ratios(now),
+            failure_permille: self.loads.local_failure_permille(now),
             changing: self.pools.changes(now),
             suspects: self.suspects.report(now),
             versions: self.staleness.own(),
--- a/crates/core/tests/gateway/placement.rs
+++ b/crates/core/tests/gateway/placement.rs
@@ -144,7 +144,7 @@
     let mut loads = Loads::default();
     let digest = Digest {
         name: "b".into(),
-        failure_permille: other.local_failure_ratios(at(30)),
+        failure_permille: other.local_failure_permille(at(30)),
         ..Digest::default()
     };
     loads.merge_digest(at(30), &digest);
--- a/crates/core/tests/gateway/queue.rs
+++ b/crates/core/tests/gateway/queue.rs
@@ -103,7 +103,7 @@
 const RUN_MS: u64 = 3_300;
 const FIRST_MS: u64 = 300;
 const TARGET_MS: u64 = 900;
-const SILENCE_MS: u64 = 3_600;
+const STALL_MS: u64 = 3_600;
 
 /// Simulates a burst of 5 s at 1.3 times the capacity, within a load of 0.7 times the capacity.
 fn simulate(order: Order, seed: u64) -> Counts {
@@ -119,8 +119,8 @@
             let tag = arrivals.len() as u32;
             arrivals.insert(tag, now);
             let soft_deadline =
-                if order == Order::Arrival { now + SILENCE_MS } else { now + TARGET_MS - FIRST_MS };
-            queue.push(entry(tag, soft_deadline, now + SILENCE_MS - FIRST_MS));
+                if order == Order::Arrival { now + STALL_MS } else { now + TARGET_MS - FIRST_MS };
+            queue.push(entry(tag, soft_deadline, now + STALL_MS - FIRST_MS));
         }
         ends.retain(|end| *end > now);
         let mut free_slots = SLOTS - ends.len();
