--- a/crates/bench/src/published/caller.rs
+++ b/crates/bench/src/published/caller.rs
@@ -90,12 +90,12 @@
 
     /// Reads the next answer as far as it comes.
     pub async fn answer(&mut self) -> Result<Answer, Error> {
-        let head = self.connection.response(LARGEST).await?;
+        let head = self.connection.read_response(LARGEST).await?;
         let framing = head.framing("GET").unwrap_or(Framing::Empty);
         let mut decoder = Decoder::new(framing);
         let mut body = Vec::new();
         let whole = loop {
-            match self.connection.part(&mut decoder).await {
+            match self.connection.read_part(&mut decoder).await {
                 Ok(Some(part)) => body.extend_from_slice(&part),
                 Ok(None) => break true,
                 Err(_) => break false,
@@ -106,9 +106,9 @@
 
     /// Reads the head of the next answer and the first part of its body.
     pub async fn first_part(&mut self) -> Result<(Response, Option<Bytes>), Error> {
-        let head = self.connection.response(LARGEST).await?;
+        let head = self.connection.read_response(LARGEST).await?;
         let mut decoder = Decoder::new(head.framing("GET").unwrap_or(Framing::Empty));
-        let part = self.connection.part(&mut decoder).await?;
+        let part = self.connection.read_part(&mut decoder).await?;
         Ok((head, part))
     }
 
--- a/crates/bench/src/published/server.rs
+++ b/crates/bench/src/published/server.rs
@@ -93,9 +93,9 @@
     Fut: Future<Output = (Connection, Then)>,
 {
     let mut connection = Connection::new(stream, USER_TIMEOUT);
-    while let Ok(head) = connection.request(LARGEST).await {
+    while let Ok(head) = connection.read_request(LARGEST).await {
         let Ok(framing) = head.framing() else { return };
-        let Ok(body) = connection.whole(&mut Decoder::new(framing), LARGEST).await else { return };
+        let Ok(body) = connection.read_body(&mut Decoder::new(framing), LARGEST).await else { return };
         let then;
         (connection, then) = handler(head, body, connection).await;
         match then {
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -8,7 +8,7 @@
 use tarragonhill_core::{Clock, gateway::digest::Member};
 use tarragonhill_gateway::{Gateway, Settings, Store, View};
 use tarragonhill_http::server::{Inbound, Limits, Outbound, Server};
-use tarragonhill_platform::{READINESS, claims::Claims, dialect::Dialect, store};
+use tarragonhill_platform::{READINESS_PATH, claims::Claims, dialect::Dialect, store};
 
 use crate::{StartError, admin, config::GatewaySettings, logging};
 
@@ -122,7 +122,7 @@
 
 async fn answer(inbound: Inbound, admin: Admin) -> Outbound {
     let is_ready = admin.view.is_ready();
-    if inbound.path == READINESS {
+    if inbound.path == READINESS_PATH {
         return Outbound::text(if is_ready { 200 } else { 503 }, "");
     }
     if inbound.path == "/state" {
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -83,12 +83,13 @@
 
     /// The next part of the body; `None` at its proper end.
     pub(crate) async fn part(&mut self) -> Result<Option<Bytes>, Failure> {
-        self.connection.part(&mut self.decoder).await.map_err(Failure::Broken)
+        self.connection.read_part(&mut self.decoder).await.map_err(Failure::Broken)
     }
 
     /// The whole body; the connection is kept.
     pub(crate) async fn whole(mut self) -> Result<(Response, Reply, Bytes), Failure> {
-        let body = self.connection.whole(&mut self.decoder, LARGEST_BODY).await.map_err(Failure::Broken)?;
+        let body =
+            self.connection.read_body(&mut self.decoder, LARGEST_BODY).await.map_err(Failure::Broken)?;
         let (head, reply) = (self.head.clone(), self.reply.clone());
         self.keep();
         Ok((head, reply, body))
@@ -151,7 +152,7 @@
             // An informational answer, or one that came late for a request before this one.
             let is_stranger = response.status < 200 || id.is_some() && reply.id.as_deref() != id;
             if is_stranger && (response.status < 200 || reply.id.is_some()) {
-                connection.whole(&mut decoder, LARGEST_BODY).await.map_err(Failure::Broken)?;
+                connection.read_body(&mut decoder, LARGEST_BODY).await.map_err(Failure::Broken)?;
                 continue;
             }
             if is_stranger && response.status < 400 {
@@ -233,7 +234,7 @@
 }
 
 async fn read_beside(connection: &mut Connection, writing: &mut Writing<'_>) -> Result<Response, Error> {
-    let mut reading = pin!(connection.response(LARGEST_HEAD));
+    let mut reading = pin!(connection.read_response(LARGEST_HEAD));
     poll_fn(|cx| {
         writing.poll(cx);
         reading.as_mut().poll(cx)
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -123,7 +123,7 @@
 type Rejection = Option<u16>;
 
 async fn read_head(connection: &mut Connection, limits: Limits) -> Result<Request, Rejection> {
-    let read = timeout(limits.head_time, connection.request(limits.head)).await;
+    let read = timeout(limits.head_time, connection.read_request(limits.head)).await;
     let head = read.map_err(|_| Some(408))?.map_err(rejection(431))?;
     let hosts = head.fields.count("host");
     if hosts != 1 || !head.target.starts_with('/') {
@@ -136,7 +136,7 @@
     move |error| match error {
         Error::Malformed(_) => Some(400),
         Error::TooLarge => Some(too_large),
-        Error::Closed | Error::Cut | Error::Io(_) => None,
+        Error::Closed | Error::Truncated | Error::Io(_) => None,
     }
 }
 
@@ -150,7 +150,7 @@
         written.map_err(|_| None)?;
     }
     let mut decoder = Decoder::new(framing);
-    let read = timeout(BODY_LIMIT, connection.whole(&mut decoder, limits.body)).await;
+    let read = timeout(BODY_LIMIT, connection.read_body(&mut decoder, limits.body)).await;
     read.map_err(|_| Some(408))?.map_err(rejection(413))
 }
 
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -44,7 +44,7 @@
                 all.get_mut(&endpoint.id)?.pop()?
             };
             // What came in between belongs to no request of ours: a second answer, or the close.
-            if idle.until > self.clock.now() && idle.connection.is_quiet().await {
+            if idle.until > self.clock.now() && idle.connection.is_idle().await {
                 return Some(idle.connection);
             }
         }
--- a/crates/h1/src/connection.rs
+++ b/crates/h1/src/connection.rs
@@ -24,7 +24,7 @@
     /// The peer closed the connection between two messages.
     Closed,
     /// The peer closed the connection inside a message.
-    Cut,
+    Truncated,
     /// The connection broke.
     Io(io::Error),
     /// What the peer sent is no message.
@@ -37,7 +37,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Closed => f.write_str("connection closed"),
-            Self::Cut => f.write_str("connection closed inside a message"),
+            Self::Truncated => f.write_str("connection closed inside a message"),
             Self::Io(error) => write!(f, "connection broke: {error}"),
             Self::Malformed(why) => write!(f, "malformed message: {why}"),
             Self::TooLarge => f.write_str("message too large"),
@@ -97,7 +97,7 @@
     }
 
     /// Whether the peer has neither sent anything nor closed the connection since the last message.
-    pub async fn is_quiet(&self) -> bool {
+    pub async fn is_idle(&self) -> bool {
         let mut byte = [0];
         self.buffer.is_empty() && poll_once(self.stream.peek(&mut byte)).await.is_none()
     }
@@ -120,16 +120,16 @@
     }
 
     /// Reads the next request's head, `limit` bytes at most.
-    pub async fn request(&mut self, limit: usize) -> Result<Request, Error> {
-        self.head(limit, Request::parse).await
+    pub async fn read_request(&mut self, limit: usize) -> Result<Request, Error> {
+        self.read_head(limit, Request::parse).await
     }
 
     /// Reads the next response's head, `limit` bytes at most.
-    pub async fn response(&mut self, limit: usize) -> Result<Response, Error> {
-        self.head(limit, Response::parse).await
+    pub async fn read_response(&mut self, limit: usize) -> Result<Response, Error> {
+        self.read_head(limit, Response::parse).await
     }
 
-    async fn head<T>(&mut self, limit: usize, parse: Parser<T>) -> Result<T, Error> {
+    async fn read_head<T>(&mut self, limit: usize, parse: Parser<T>) -> Result<T, Error> {
         loop {
             if let Some((head, length)) = parse(&self.buffer)? {
                 if length > limit {
@@ -142,28 +142,28 @@
                 return Err(Error::TooLarge);
             }
             if self.fill().await? == 0 {
-                return Err(if self.buffer.is_empty() { Error::Closed } else { Error::Cut });
+                return Err(if self.buffer.is_empty() { Error::Closed } else { Error::Truncated });
             }
         }
     }
 
     /// Reads the next part of a body; `None` at its proper end.
-    pub async fn part(&mut self, decoder: &mut Decoder) -> Result<Option<Bytes>, Error> {
+    pub async fn read_part(&mut self, decoder: &mut Decoder) -> Result<Option<Bytes>, Error> {
         loop {
             match decoder.step(&mut self.buffer)? {
                 Step::Data(data) => return Ok(Some(data)),
                 Step::End => return Ok(None),
                 Step::More if self.fill().await? > 0 => {}
                 Step::More if decoder.ends_at_close() => return Ok(None),
-                Step::More => return Err(Error::Cut),
+                Step::More => return Err(Error::Truncated),
             }
         }
     }
 
     /// Reads the rest of a body, `limit` bytes at most.
-    pub async fn whole(&mut self, decoder: &mut Decoder, limit: usize) -> Result<Bytes, Error> {
+    pub async fn read_body(&mut self, decoder: &mut Decoder, limit: usize) -> Result<Bytes, Error> {
         let mut body = BytesMut::new();
-        while let Some(part) = self.part(decoder).await? {
+        while let Some(part) = self.read_part(decoder).await? {
             if body.len() + part.len() > limit {
                 return Err(Error::TooLarge);
             }
