--- a/crates/h1/src/body.rs
+++ b/crates/h1/src/body.rs
@@ -1,123 +1,126 @@
-//! Bodies: where they end, and whether they did.
+//! Body framing: incremental decoding of bodies and detection of truncated ones.
 
 use bytes::{Buf as _, Bytes, BytesMut};
 
 use crate::Malformed;
 
-/// Longest line of a chunk's size or of a trailer, bytes: ours, far above what peers send.
-const LONGEST_LINE: usize = 4_096;
-/// Most bytes of trailers: ours, far above what peers send.
-const MOST_TRAILERS: usize = 16_384;
+/// Limit on a chunk size line or a trailer line.
+const MAX_LINE_BYTES: usize = 4_096;
+const MAX_TRAILER_BYTES: usize = 16_384;
 
-/// How a body's end is told.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// There is no body.
     Empty,
-    /// By its length, bytes.
+    /// By `Content-Length`, in bytes.
     Length(u64),
-    /// By a chunk of size zero.
+    /// By the last chunk of the chunked transfer coding.
     Chunked,
     /// By the end of the connection.
     UntilClose,
 }
 
-/// What the bytes at hand yield.
+/// Result of a decoding step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A part of the body.
+    /// Body data, without chunk framing.
     Data(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
-    /// More bytes are needed.
-    More,
+    /// The buffer has no more body data; read more bytes from the connection.
+    NeedMore,
 }
 
-/// Takes a body apart.
+/// Incremental decoder of one body.
 #[derive(Clone, Debug)]
 pub struct Decoder(State);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Left(u64),
-    Size,
-    Chunk(u64),
+    /// Bytes left of a body with a known length.
+    Remaining(u64),
+    ChunkSize,
+    /// Bytes left of the current chunk.
+    ChunkData(u64),
     ChunkEnd,
+    /// Bytes of trailers read so far.
     Trailers(usize),
     UntilClose,
     Done,
 }
 
 impl Decoder {
-    /// A decoder at the start of a body.
+    /// Creates a decoder at the start of a body.
     pub fn new(framing: Framing) -> Self {
         Self(match framing {
             Framing::Empty | Framing::Length(0) => State::Done,
-            Framing::Length(length) => State::Left(length),
-            Framing::Chunked => State::Size,
+            Framing::Length(length) => State::Remaining(length),
+            Framing::Chunked => State::ChunkSize,
             Framing::UntilClose => State::UntilClose,
         })
     }
 
-    /// Whether the body has been taken to its end.
+    /// Returns whether the body has been decoded to its end.
     pub fn is_done(&self) -> bool {
         self.0 == State::Done
     }
 
-    /// Whether an end of the connection here is the body's proper end.
+    /// Returns whether the body is complete if the connection ends here.
     pub fn ends_at_close(&self) -> bool {
         matches!(self.0, State::Done | State::UntilClose)
     }
 
-    /// Takes what `buffer` holds of the body.
+    /// Decodes and removes body bytes from the front of `buffer`. Bytes after the body are left in it.
     pub fn step(&mut self, buffer: &mut BytesMut) -> Result<Step, Malformed> {
         loop {
             match self.0 {
                 State::Done => return Ok(Step::End),
-                _ if buffer.is_empty() => return Ok(Step::More),
+                _ if buffer.is_empty() => return Ok(Step::NeedMore),
                 State::UntilClose => return Ok(Step::Data(buffer.split().freeze())),
-                State::Left(left) => {
-                    return Ok(Step::Data(self.take(buffer, left, State::Left, State::Done)));
+                State::Remaining(left) => {
+                    return Ok(Step::Data(self.take(buffer, left, State::Remaining, State::Done)));
                 }
-                State::Chunk(left) => {
-                    return Ok(Step::Data(self.take(buffer, left, State::Chunk, State::ChunkEnd)));
+                State::ChunkData(left) => {
+                    return Ok(Step::Data(self.take(buffer, left, State::ChunkData, State::ChunkEnd)));
                 }
-                State::Size => {
-                    let Some(line) = line(buffer)? else { return Ok(Step::More) };
-                    let size = chunk_size(&line)?;
-                    self.0 = if size == 0 { State::Trailers(0) } else { State::Chunk(size) };
+                State::ChunkSize => {
+                    let Some(line) = take_line(buffer)? else { return Ok(Step::NeedMore) };
+                    let size = parse_chunk_size(&line)?;
+                    self.0 = if size == 0 { State::Trailers(0) } else { State::ChunkData(size) };
                 }
                 State::ChunkEnd => {
-                    let Some(line) = line(buffer)? else { return Ok(Step::More) };
+                    let Some(line) = take_line(buffer)? else { return Ok(Step::NeedMore) };
                     if !line.is_empty() {
-                        return Err(Malformed("no line end after a chunk"));
+                        return Err(Malformed("missing line ending after a chunk"));
                     }
-                    self.0 = State::Size;
+                    self.0 = State::ChunkSize;
                 }
-                State::Trailers(seen) => {
-                    let Some(line) = line(buffer)? else { return Ok(Step::More) };
-                    let seen = seen + line.len();
-                    if seen > MOST_TRAILERS {
+                State::Trailers(read) => {
+                    let Some(line) = take_line(buffer)? else { return Ok(Step::NeedMore) };
+                    let read = read + line.len();
+                    if read > MAX_TRAILER_BYTES {
                         return Err(Malformed("trailers too long"));
                     }
-                    self.0 = if line.is_empty() { State::Done } else { State::Trailers(seen) };
+                    self.0 = if line.is_empty() { State::Done } else { State::Trailers(read) };
                 }
             }
         }
     }
 
+    /// Takes up to `left` bytes from the buffer and moves to state `end` once all have been taken.
     fn take(&mut self, buffer: &mut BytesMut, left: u64, more: fn(u64) -> State, end: State) -> Bytes {
-        let here = usize::try_from(left).unwrap_or(usize::MAX).min(buffer.len());
-        let left = left - here as u64;
+        let count = usize::try_from(left).unwrap_or(usize::MAX).min(buffer.len());
+        let left = left - count as u64;
         self.0 = if left == 0 { end } else { more(left) };
-        buffer.split_to(here).freeze()
+        buffer.split_to(count).freeze()
     }
 }
 
-/// The next line without its end; `None` while it is not whole.
-fn line(buffer: &mut BytesMut) -> Result<Option<Bytes>, Malformed> {
+/// Takes the next line without its line ending; `None` while it is incomplete.
+fn take_line(buffer: &mut BytesMut) -> Result<Option<Bytes>, Malformed> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
-        return if buffer.len() > LONGEST_LINE { Err(Malformed("line too long")) } else { Ok(None) };
+        return if buffer.len() > MAX_LINE_BYTES { Err(Malformed("line too long")) } else { Ok(None) };
     };
     if end == 0 || buffer[end - 1] != b'\r' {
         return Err(Malformed("bare line feed in a chunked body"));
@@ -127,7 +130,7 @@
     Ok(Some(line))
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, Malformed> {
+fn parse_chunk_size(line: &[u8]) -> Result<u64, Malformed> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let text = std::str::from_utf8(digits).map_err(|_| Malformed("invalid chunk size"))?;
     let text = text.trim_end_matches([' ', '\t']);
@@ -137,7 +140,7 @@
     u64::from_str_radix(text, 16).map_err(|_| Malformed("invalid chunk size"))
 }
 
-/// One chunk of a chunked body.
+/// Encodes one chunk of a chunked body. `data` must not be empty: that would end the body.
 pub fn chunk(data: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(data.len() + 16);
     bytes.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
@@ -146,5 +149,5 @@
     bytes
 }
 
-/// The end of a chunked body.
+/// End of a chunked body without trailers.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/h1/src/connection.rs
+++ b/crates/h1/src/connection.rs
@@ -1,4 +1,4 @@
-//! A buffered connection that reads and writes messages.
+//! Buffered connection that reads and writes HTTP/1.1 messages.
 
 use std::{fmt, io, net::SocketAddr, pin::Pin, time::Duration};
 
@@ -15,21 +15,21 @@
     head::{Request, Response},
 };
 
-/// Bytes asked of the system in one read: a few stream events or one usual body.
-const READ: usize = 8_192;
+/// Bytes requested in one read from the socket.
+const READ_SIZE: usize = 8_192;
 
-/// Why nothing could be read.
+/// Error while reading a message.
 #[derive(Debug)]
 pub enum Error {
     /// The peer closed the connection between two messages.
     Closed,
-    /// The peer closed the connection inside a message.
+    /// The peer closed the connection in the middle of a message.
     Truncated,
-    /// The connection broke.
+    /// I/O error on the connection.
     Io(io::Error),
-    /// What the peer sent is no message.
+    /// The peer sent an invalid message.
     Malformed(Malformed),
-    /// The head or body is larger than the limit given.
+    /// The head or body exceeds the caller's limit.
     TooLarge,
 }
 
@@ -39,7 +39,7 @@
             Self::Closed => f.write_str("connection closed"),
             Self::Truncated => f.write_str("connection closed inside a message"),
             Self::Io(error) => write!(f, "connection broke: {error}"),
-            Self::Malformed(why) => write!(f, "malformed message: {why}"),
+            Self::Malformed(reason) => write!(f, "malformed message: {reason}"),
             Self::TooLarge => f.write_str("message too large"),
         }
     }
@@ -59,10 +59,10 @@
     }
 }
 
-/// A parser of heads: the head and its length in bytes, or nothing while it is not whole.
+/// Parses a head and returns it with its length in bytes, or `None` while it is incomplete.
 type Parser<T> = fn(&[u8]) -> Result<Option<(T, usize)>, Malformed>;
 
-/// A connection and the bytes read from it that nobody has taken yet.
+/// A TCP connection with a read buffer.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
@@ -70,61 +70,62 @@
 }
 
 impl Connection {
-    /// Wraps a stream. Unacknowledged bytes may stand for `patience` before the system gives the
-    /// peer up: a connection that went silent for good ends by this.
-    pub fn new(stream: TcpStream, patience: Duration) -> Self {
+    /// Wraps a stream. `user_timeout` sets `TCP_USER_TIMEOUT`: how long sent data may stay
+    /// unacknowledged before the operating system closes the connection.
+    pub fn new(stream: TcpStream, user_timeout: Duration) -> Self {
         let _ = stream.set_nodelay(true);
-        let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(patience));
+        let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(user_timeout));
         Self { stream, buffer: BytesMut::new() }
     }
 
-    /// Opens a connection within `limit`.
-    pub async fn open(address: SocketAddr, limit: Duration, patience: Duration) -> io::Result<Self> {
+    /// Connects within `limit`. See [`Connection::new`] for `user_timeout`.
+    pub async fn open(address: SocketAddr, limit: Duration, user_timeout: Duration) -> io::Result<Self> {
         let stream = timeout(limit, TcpStream::connect(address))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        Ok(Self::new(stream, patience))
+        Ok(Self::new(stream, user_timeout))
     }
 
-    /// The stream, for writing beside a task that reads.
+    /// Returns the underlying stream, which another task may write to while this one reads.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Bytes read and not taken.
+    /// Returns the number of bytes that were read but not consumed.
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether the peer has neither sent anything nor closed the connection since the last message.
+    /// Returns whether the connection is open and has no unread data, so that it can be reused.
     pub async fn is_idle(&self) -> bool {
         let mut byte = [0];
         self.buffer.is_empty() && poll_once(self.stream.peek(&mut byte)).await.is_none()
     }
 
-    /// Reads once; 0 at the end of the connection. May be dropped at any point without loss.
+    /// Reads once into the buffer; returns 0 at the end of the connection. Cancel safe: dropping the
+    /// future loses no data.
     pub async fn fill(&mut self) -> io::Result<usize> {
         let Self { stream, buffer } = self;
         poll_fn(|cx| {
-            let held = buffer.len();
-            buffer.resize(held + READ, 0);
-            let read = Pin::new(&mut *stream).poll_read(cx, &mut buffer[held..]);
-            let got = match &read {
-                std::task::Poll::Ready(Ok(got)) => *got,
+            let filled = buffer.len();
+            buffer.resize(filled + READ_SIZE, 0);
+            let read = Pin::new(&mut *stream).poll_read(cx, &mut buffer[filled..]);
+            let count = match &read {
+                std::task::Poll::Ready(Ok(count)) => *count,
                 _ => 0,
             };
-            buffer.truncate(held + got);
+            buffer.truncate(filled + count);
             read
         })
         .await
     }
 
-    /// Reads the next request's head, `limit` bytes at most.
+    /// Reads the head of the next request, at most `limit` bytes.
     pub async fn read_request(&mut self, limit: usize) -> Result<Request, Error> {
         self.read_head(limit, Request::parse).await
     }
 
-    /// Reads the next response's head, `limit` bytes at most.
+    /// Reads the head of the next response, at most `limit` bytes.
     pub async fn read_response(&mut self, limit: usize) -> Result<Response, Error> {
         self.read_head(limit, Response::parse).await
     }
@@ -147,20 +148,20 @@
         }
     }
 
-    /// Reads the next part of a body; `None` at its proper end.
+    /// Reads the next part of a body; `None` at its end. A truncated body is an error.
     pub async fn read_part(&mut self, decoder: &mut Decoder) -> Result<Option<Bytes>, Error> {
         loop {
             match decoder.step(&mut self.buffer)? {
                 Step::Data(data) => return Ok(Some(data)),
                 Step::End => return Ok(None),
-                Step::More if self.fill().await? > 0 => {}
-                Step::More if decoder.ends_at_close() => return Ok(None),
-                Step::More => return Err(Error::Truncated),
+                Step::NeedMore if self.fill().await? > 0 => {}
+                Step::NeedMore if decoder.ends_at_close() => return Ok(None),
+                Step::NeedMore => return Err(Error::Truncated),
             }
         }
     }
 
-    /// Reads the rest of a body, `limit` bytes at most.
+    /// Reads the rest of a body, at most `limit` bytes.
     pub async fn read_body(&mut self, decoder: &mut Decoder, limit: usize) -> Result<Bytes, Error> {
         let mut body = BytesMut::new();
         while let Some(part) = self.read_part(decoder).await? {
--- a/crates/h1/src/field.rs
+++ b/crates/h1/src/field.rs
@@ -1,25 +1,25 @@
-//! Header fields in the order in which they came.
+//! Header fields in the order received. Names are compared case-insensitively.
 
 /// One header field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Field {
-    /// The name as it was spelled; compared without case.
+    /// The name in its original case.
     pub name: String,
-    /// The value's bytes, without surrounding white space.
+    /// The value without surrounding white space; not necessarily UTF-8.
     pub value: Vec<u8>,
 }
 
-/// The fields of a head.
+/// Header fields of a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fields(Vec<Field>);
 
 impl Fields {
-    /// The first value of a field, if it is text.
+    /// Returns the first UTF-8 value of a field.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.all(name).next()
     }
 
-    /// Every value of a field that is text.
+    /// Returns all UTF-8 values of a field.
     pub fn all<'a>(&'a self, name: &str) -> impl Iterator<Item = &'a str> {
         self.0
             .iter()
@@ -27,7 +27,7 @@
             .filter_map(|field| std::str::from_utf8(&field.value).ok())
     }
 
-    /// How often a field stands in the head, readable or not.
+    /// Returns how often a field occurs, including values that are not UTF-8.
     pub fn count(&self, name: &str) -> usize {
         self.0.iter().filter(|field| field.name.eq_ignore_ascii_case(name)).count()
     }
@@ -37,24 +37,23 @@
         self.0.push(Field { name: name.into(), value: value.into() });
     }
 
-    /// Replaces all fields of a name by one.
+    /// Replaces all fields of this name by one.
     pub fn set(&mut self, name: &str, value: impl Into<Vec<u8>>) {
         self.remove(name);
         self.push(name, value);
     }
 
-    /// Drops all fields of a name.
+    /// Removes all fields of this name.
     pub fn remove(&mut self, name: &str) {
         self.0.retain(|field| !field.name.eq_ignore_ascii_case(name));
     }
 
-    /// Whether a comma-separated field holds a token, without case.
+    /// Returns whether a comma-separated field contains a token, compared case-insensitively.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name).flat_map(|value| value.split(',')).any(|part| part.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Drops the fields that concern one connection only: the standard ones and those that
-    /// `Connection` names.
+    /// Removes hop-by-hop fields: the standard ones and those listed in `Connection`.
     pub fn strip_hop_by_hop(&mut self) {
         let named: Vec<String> = self
             .all("connection")
@@ -66,13 +65,13 @@
         }
     }
 
-    /// The fields in order.
+    /// Iterates over the fields in order.
     pub fn iter(&self) -> std::slice::Iter<'_, Field> {
         self.0.iter()
     }
 }
 
-/// Fields that end at the next hop (RFC 9110, section 7.6.1).
+/// Fields that a proxy must not forward (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
--- a/crates/h1/src/head.rs
+++ b/crates/h1/src/head.rs
@@ -1,56 +1,55 @@
-//! Heads of requests and responses.
+//! Request and response heads: the start line and the header fields.
 
 use crate::{Malformed, body::Framing, field::Fields};
 
-/// Most header fields of one head.
-const MOST_FIELDS: usize = 100;
+const MAX_FIELDS: usize = 100;
 
 /// The head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The method as it came.
+    /// The method in its original case.
     pub method: String,
-    /// Path and query as they came.
+    /// Path and query, not decoded.
     pub target: String,
-    /// Minor version: 0 or 1.
+    /// Minor version of HTTP/1: 0 or 1.
     pub minor: u8,
     /// The header fields.
     pub fields: Fields,
 }
 
 impl Request {
-    /// A request without fields.
+    /// Creates an HTTP/1.1 request without fields.
     pub fn new(method: &str, target: impl Into<String>) -> Self {
         Self { method: method.into(), target: target.into(), minor: 1, fields: Fields::default() }
     }
 
-    /// Reads a head and its length in bytes; `None` while it is not whole.
+    /// Parses a head and returns it with its length in bytes; `None` while it is incomplete.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, Malformed> {
-        let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+        let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut request = httparse::Request::new(&mut fields);
         let length = match request.parse(bytes) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(error) => return Err(malformed(error)),
+            Err(error) => return Err(parse_error(error)),
         };
         let head = Self {
             method: request.method.unwrap_or_default().to_owned(),
             target: request.path.unwrap_or_default().to_owned(),
             minor: request.version.unwrap_or(1),
-            fields: collect(request.headers),
+            fields: collect_fields(request.headers),
         };
         Ok(Some((head, length)))
     }
 
-    /// The path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// How the body is framed.
+    /// Returns how the body is framed.
     ///
-    /// A head that names two framings, or one that is not known here, is refused: another reader
-    /// would find the end of the body elsewhere, and what follows would pass for a request.
+    /// Ambiguous or unsupported framing is an error. Another server could determine a different end
+    /// of the body and treat part of it as the next request (request smuggling).
     pub fn framing(&self) -> Result<Framing, Malformed> {
         if self.fields.count("transfer-encoding") == 0 {
             return Ok(content_length(&self.fields)?.map_or(Framing::Empty, Framing::Length));
@@ -61,10 +60,10 @@
         if self.fields.count("content-length") > 0 {
             return Err(Malformed("both content-length and transfer-encoding"));
         }
-        chunked(&self.fields)
+        chunked_framing(&self.fields)
     }
 
-    /// The head as bytes.
+    /// Encodes the head, including the empty line that ends it.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(512);
         bytes.extend_from_slice(self.method.as_bytes());
@@ -75,7 +74,7 @@
         bytes
     }
 
-    /// Whether the peer wants to send more requests on the connection.
+    /// Returns whether the client keeps the connection open after this request.
     pub fn keeps_alive(&self) -> bool {
         keeps_alive(self.minor, &self.fields)
     }
@@ -88,37 +87,37 @@
     pub status: u16,
     /// The reason phrase.
     pub reason: String,
-    /// Minor version: 0 or 1.
+    /// Minor version of HTTP/1: 0 or 1.
     pub minor: u8,
     /// The header fields.
     pub fields: Fields,
 }
 
 impl Response {
-    /// A response without fields.
+    /// Creates an HTTP/1.1 response without fields, with the usual reason phrase.
     pub fn new(status: u16) -> Self {
-        Self { status, reason: reason(status).into(), minor: 1, fields: Fields::default() }
+        Self { status, reason: reason_phrase(status).into(), minor: 1, fields: Fields::default() }
     }
 
-    /// Reads a head and its length in bytes; `None` while it is not whole.
+    /// Parses a head and returns it with its length in bytes; `None` while it is incomplete.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, Malformed> {
-        let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+        let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut response = httparse::Response::new(&mut fields);
         let length = match response.parse(bytes) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(error) => return Err(malformed(error)),
+            Err(error) => return Err(parse_error(error)),
         };
         let head = Self {
             status: response.code.unwrap_or_default(),
             reason: response.reason.unwrap_or_default().to_owned(),
             minor: response.version.unwrap_or(1),
-            fields: collect(response.headers),
+            fields: collect_fields(response.headers),
         };
         Ok(Some((head, length)))
     }
 
-    /// How the body of a response to `method` is framed.
+    /// Returns how the body of a response to a request with `method` is framed.
     pub fn framing(&self, method: &str) -> Result<Framing, Malformed> {
         if method == "HEAD" || self.status < 200 || matches!(self.status, 204 | 304) {
             return Ok(Framing::Empty);
@@ -130,10 +129,10 @@
         if length.is_some() {
             return Err(Malformed("both content-length and transfer-encoding"));
         }
-        chunked(&self.fields)
+        chunked_framing(&self.fields)
     }
 
-    /// The head as bytes.
+    /// Encodes the head, including the empty line that ends it.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(512);
         bytes.extend_from_slice(format!("HTTP/1.1 {} {}\r\n", self.status, self.reason).as_bytes());
@@ -141,13 +140,13 @@
         bytes
     }
 
-    /// Whether the peer leaves the connection open after this response.
+    /// Returns whether the server keeps the connection open after this response.
     pub fn keeps_alive(&self) -> bool {
         keeps_alive(self.minor, &self.fields)
     }
 }
 
-fn collect(headers: &[httparse::Header<'_>]) -> Fields {
+fn collect_fields(headers: &[httparse::Header<'_>]) -> Fields {
     let mut fields = Fields::default();
     for header in headers {
         fields.push(header.name, header.value);
@@ -165,11 +164,11 @@
     bytes.extend_from_slice(b"\r\n");
 }
 
-fn malformed(error: httparse::Error) -> Malformed {
+fn parse_error(error: httparse::Error) -> Malformed {
     Malformed(match error {
         httparse::Error::HeaderName => "invalid field name",
         httparse::Error::HeaderValue => "invalid field value",
-        httparse::Error::NewLine => "invalid line end",
+        httparse::Error::NewLine => "invalid line ending",
         httparse::Error::Status => "invalid status",
         httparse::Error::Token => "invalid token",
         httparse::Error::TooManyHeaders => "too many fields",
@@ -187,21 +186,22 @@
             return Err(Malformed("invalid content-length"));
         }
         let parsed = value.parse().map_err(|_| Malformed("invalid content-length"))?;
-        if length.is_some_and(|known| known != parsed) {
-            return Err(Malformed("two values of content-length"));
+        if length.is_some_and(|previous| previous != parsed) {
+            return Err(Malformed("conflicting content-length values"));
         }
         length = Some(parsed);
     }
     Ok(length)
 }
 
-fn chunked(fields: &Fields) -> Result<Framing, Malformed> {
+/// Accepts `chunked` as the only transfer coding.
+fn chunked_framing(fields: &Fields) -> Result<Framing, Malformed> {
     let is_chunked =
         fields.get("transfer-encoding").is_some_and(|value| value.eq_ignore_ascii_case("chunked"));
     if fields.count("transfer-encoding") == 1 && is_chunked {
         return Ok(Framing::Chunked);
     }
-    Err(Malformed("unknown transfer-encoding"))
+    Err(Malformed("unsupported transfer-encoding"))
 }
 
 fn keeps_alive(minor: u8, fields: &Fields) -> bool {
@@ -211,7 +211,7 @@
     minor == 1 || fields.has_token("connection", "keep-alive")
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/h1/src/lib.rs
+++ b/crates/h1/src/lib.rs
@@ -1,13 +1,13 @@
-//! HTTP/1.1 messages with exact framing, for traffic that is passed on.
+//! HTTP/1.1 messages with exact framing, for a proxy.
 //!
-//! Unlike a general HTTP library, this crate keeps the bytes of a body as they came, tells a body
-//! that was cut from one that is whole, and refuses every message whose framing two readers could
-//! take differently. Heads are parsed by `httparse`.
+//! Unlike a general HTTP library, this crate forwards body bytes unchanged, distinguishes a
+//! truncated body from a complete one, and rejects messages with ambiguous framing, which would
+//! allow request smuggling. Heads are parsed by `httparse`.
 //!
 //! ```
 //! use tarragonhill_h1::head::Request;
 //!
-//! let (request, length) = Request::parse(b"GET /a HTTP/1.1\r\nHost: b\r\n\r\n")?.expect("a whole head");
+//! let (request, length) = Request::parse(b"GET /a HTTP/1.1\r\nHost: b\r\n\r\n")?.expect("a complete head");
 //! assert_eq!(request.target, "/a");
 //! assert_eq!(request.fields.get("host"), Some("b"));
 //! assert_eq!(length, 28);
@@ -21,7 +21,7 @@
 
 pub use connection::{Connection, Error};
 
-/// A message that cannot be read, and why; the text is fit for logs and answers.
+/// A message that violates HTTP/1.1, with the reason. The text contains no data from the peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
--- a/crates/h1/tests/messages.rs
+++ b/crates/h1/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages are read exactly, and what two readers could take differently is refused.
+//! Parsing of heads and bodies, and rejection of ambiguous framing.
 
 use bytes::BytesMut;
 use quickcheck::{Gen, QuickCheck, TestResult};
@@ -8,16 +8,17 @@
     head::{Request, Response},
 };
 
-fn request(text: &str) -> Result<Option<(Request, usize)>, Malformed> {
+fn parse_request(text: &str) -> Result<Option<(Request, usize)>, Malformed> {
     Request::parse(text.as_bytes())
 }
 
 fn framing(fields: &str) -> Result<Framing, Malformed> {
-    let (head, _) = request(&format!("POST /a HTTP/1.1\r\nHost: a\r\n{fields}\r\n"))?.expect("a whole head");
+    let (head, _) =
+        parse_request(&format!("POST /a HTTP/1.1\r\nHost: a\r\n{fields}\r\n"))?.expect("complete");
     head.framing()
 }
 
-/// Reads a body that comes in pieces; nothing if it is not whole at the end.
+/// Decodes a body that arrives in pieces; `None` if it is truncated.
 fn decode(framing: Framing, pieces: &[&[u8]]) -> Result<Option<Vec<u8>>, Malformed> {
     let mut decoder = Decoder::new(framing);
     let mut buffer = BytesMut::new();
@@ -32,14 +33,15 @@
 }
 
 #[test]
-fn a_head_is_nothing_until_it_is_whole() {
-    assert_eq!(request("GET / HTTP/1.1\r\nHost: a\r\n"), Ok(None));
-    let (head, length) = request("GET /p?q HTTP/1.1\r\nHost: a\r\n\r\nnext").expect("valid").expect("whole");
+fn incomplete_head_is_not_returned() {
+    assert_eq!(parse_request("GET / HTTP/1.1\r\nHost: a\r\n"), Ok(None));
+    let (head, length) =
+        parse_request("GET /p?q HTTP/1.1\r\nHost: a\r\n\r\nnext").expect("valid").expect("complete");
     assert_eq!((head.path(), head.target.as_str(), length), ("/p", "/p?q", 30));
 }
 
 #[test]
-fn framings_that_two_readers_could_take_differently_are_refused() {
+fn ambiguous_framing_is_rejected() {
     assert_eq!(framing("Content-Length: 4\r\n"), Ok(Framing::Length(4)));
     assert_eq!(framing("Content-Length: 4\r\nContent-Length: 4\r\n"), Ok(Framing::Length(4)));
     assert_eq!(framing("Transfer-Encoding: Chunked\r\n"), Ok(Framing::Chunked));
@@ -58,11 +60,11 @@
     ] {
         assert!(framing(fields).is_err(), "{fields}");
     }
-    assert!(request("POST /a HTTP/1.1\r\nHost : a\r\n\r\n").is_err());
+    assert!(parse_request("POST /a HTTP/1.1\r\nHost : a\r\n\r\n").is_err());
 }
 
 #[test]
-fn a_chunked_body_that_is_not_well_formed_is_refused() {
+fn malformed_chunked_body_is_rejected() {
     for body in ["4\nbody", "zz\r\n", "\r\n", "4\r\nbodyX\r\n", "+4\r\nbody\r\n", "-1\r\n", " 4\r\nbody\r\n"]
     {
         assert!(decode(Framing::Chunked, &[body.as_bytes()]).is_err(), "{body:?}");
@@ -73,10 +75,10 @@
     );
 }
 
-/// An endpoint crashes in the middle of an answer and its host closes the connection properly. Taken
-/// for the end of the answer, a caller would get half a summary as a whole one.
+/// The host of a crashed endpoint closes its connections with a FIN. Unless the truncation is
+/// detected, the caller gets part of an answer as a complete one.
 #[test]
-fn a_cut_body_is_not_whole() {
+fn truncated_body_is_detected() {
     assert_eq!(decode(Framing::Length(5), &[b"four"]), Ok(None));
     assert_eq!(decode(Framing::Chunked, &[b"4\r\nbody\r\n"]), Ok(None));
     assert_eq!(decode(Framing::Chunked, &[b"4\r\nbody\r\n0\r\n"]), Ok(None));
@@ -84,7 +86,7 @@
 }
 
 #[test]
-fn a_body_is_the_same_wherever_it_is_split() {
+fn chunked_body_can_be_split_at_any_byte() {
     fn property(parts: Vec<Vec<u8>>, cuts: Vec<usize>) -> TestResult {
         let mut bytes: Vec<u8> =
             parts.iter().filter(|part| !part.is_empty()).flat_map(|part| chunk(part)).collect();
@@ -106,7 +108,7 @@
 }
 
 #[test]
-fn bytes_behind_a_body_stay_where_they_are() {
+fn bytes_after_the_body_stay_in_the_buffer() {
     let mut buffer = BytesMut::from(&b"bodynext"[..]);
     let mut decoder = Decoder::new(Framing::Length(4));
     assert_eq!(decoder.step(&mut buffer), Ok(Step::Data(b"body".as_slice().to_vec().into())));
@@ -115,8 +117,8 @@
 }
 
 #[test]
-fn an_answers_framing_depends_on_its_status_and_the_method() {
-    let head = |text: &str| Response::parse(text.as_bytes()).expect("valid").expect("whole").0;
+fn response_framing_depends_on_status_and_method() {
+    let head = |text: &str| Response::parse(text.as_bytes()).expect("valid").expect("complete").0;
     let until_close = head("HTTP/1.1 200 OK\r\n\r\n");
     assert_eq!(until_close.framing("GET"), Ok(Framing::UntilClose));
     assert_eq!(until_close.framing("HEAD"), Ok(Framing::Empty));
@@ -126,10 +128,10 @@
 }
 
 #[test]
-fn fields_of_one_hop_are_dropped_with_those_that_connection_names() {
+fn hop_by_hop_fields_are_removed_with_those_listed_in_connection() {
     let text =
         "GET / HTTP/1.1\r\nHost: a\r\nConnection: close, X-Own\r\nX-Own: 1\r\nTE: x\r\nX-Other: 2\r\n\r\n";
-    let (mut head, _) = request(text).expect("valid").expect("whole");
+    let (mut head, _) = parse_request(text).expect("valid").expect("complete");
     head.fields.strip_hop_by_hop();
     let names: Vec<&str> = head.fields.iter().map(|field| field.name.as_str()).collect();
     assert_eq!(names, ["Host", "X-Other"]);
