--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: keeps idle connections and never sends a request twice.
+//! HTTP client with a connection pool. It never retries a request.
 
 use std::{
     collections::BTreeMap,
@@ -12,16 +12,16 @@
 use futures_lite::{AsyncBufReadExt as _, AsyncReadExt as _, future};
 use http_types::{Body, Method, Request as HttpRequest, Response as HttpResponse, Url};
 
-use crate::server::prepare;
+use crate::server::set_socket_options;
 
 /// Idle connections kept for each address.
-const IDLE: usize = 64;
-/// Largest response body that is read whole, bytes.
-const LARGEST: u64 = 64 << 20;
-/// Longest pause in a response body that is read whole.
-const STALL_LIMIT: Duration = Duration::from_secs(2);
-/// Bytes asked for in one read of such a body.
-const READ: usize = 16 << 10;
+const MAX_IDLE: usize = 64;
+/// Longest body that [`Response::bytes`] returns; longer ones are truncated.
+const MAX_BODY_BYTES: u64 = 64 << 20;
+/// Longest pause between two reads in [`Response::bytes`].
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Bytes requested in one read in [`Response::bytes`].
+const READ_SIZE: usize = 16 << 10;
 
 /// A request to be sent.
 #[derive(Clone, Debug)]
@@ -30,29 +30,30 @@
     path: String,
     headers: Vec<(&'static str, String)>,
     body: Vec<u8>,
-    /// Whether it may go over a kept connection. One that the peer closes at that moment leaves it
-    /// open whether the request arrived, so calls that may not be repeated take a fresh one.
+    /// Whether an idle connection may be reused. If the peer closes it at that moment, it is unknown
+    /// whether the request arrived, so requests that are not idempotent use a new connection.
     may_reuse: bool,
 }
 
 impl Request {
-    /// A GET of a path, over a kept connection if there is one.
+    /// Creates a GET request, which may reuse an idle connection.
     pub fn get(path: impl Into<String>) -> Self {
         Self::new(Method::Get, path, Vec::new(), true)
     }
 
-    /// A DELETE of a path, over a kept connection if there is one.
+    /// Creates a DELETE request, which may reuse an idle connection.
     pub fn delete(path: impl Into<String>) -> Self {
         Self::new(Method::Delete, path, Vec::new(), true)
     }
 
-    /// A POST of a JSON value over a fresh connection.
+    /// Creates a POST request with a JSON body, sent over a new connection.
     pub fn post(path: impl Into<String>, value: &impl serde::Serialize) -> Self {
         let body = serde_json::to_vec(value).unwrap_or_default();
         Self::new(Method::Post, path, body, false)
     }
 
-    /// Any method with any body over a fresh connection; `None` if there is no such method.
+    /// Creates a request with any method and body, sent over a new connection. `None` if the method
+    /// is unknown.
     pub fn raw(method: &str, path: impl Into<String>, body: Vec<u8>) -> Option<Self> {
         Some(Self::new(method.parse().ok()?, path, body, false))
     }
@@ -61,13 +62,13 @@
         Self { method, path: path.into(), headers: Vec::new(), body, may_reuse }
     }
 
-    /// The same request with one more header.
+    /// Adds a header.
     pub fn header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
     }
 
-    /// The same request, which may go over a kept connection.
+    /// Allows the request to reuse an idle connection.
     pub fn allow_reuse(mut self) -> Self {
         self.may_reuse = true;
         self
@@ -88,23 +89,23 @@
     }
 }
 
-/// Why there is no answer.
+/// Error of an HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// The path is not one.
+    /// The path is invalid.
     Path(String),
-    /// No connection could be opened; nothing was sent.
+    /// The connection could not be opened; nothing was sent.
     Connect(String),
-    /// The connection broke; whether the request took effect is not known.
+    /// The connection failed; the request may have been processed.
     Broken(String),
-    /// No answer in time; whether the request took effect is not known.
+    /// There was no response in time; the request may have been processed.
     Timeout,
-    /// The answer is not what was expected.
+    /// The response could not be decoded.
     Unexpected(String),
 }
 
 impl Error {
-    /// Whether it is certain that the peer never got the request.
+    /// Returns whether the request was certainly not sent.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Self::Path(_) | Self::Connect(_))
     }
@@ -113,18 +114,18 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Path(path) => write!(f, "{path:?} is not a path"),
-            Self::Connect(why) => write!(f, "cannot connect: {why}"),
-            Self::Broken(why) => write!(f, "connection broke: {why}"),
+            Self::Path(path) => write!(f, "invalid path {path:?}"),
+            Self::Connect(reason) => write!(f, "cannot connect: {reason}"),
+            Self::Broken(reason) => write!(f, "connection broke: {reason}"),
             Self::Timeout => f.write_str("no answer in time"),
-            Self::Unexpected(why) => write!(f, "unexpected answer: {why}"),
+            Self::Unexpected(reason) => write!(f, "unexpected response: {reason}"),
         }
     }
 }
 
 impl std::error::Error for Error {}
 
-/// An answer whose head has arrived.
+/// A response whose head has been read.
 pub struct Response<'a> {
     response: HttpResponse,
     pool: &'a Pool,
@@ -133,17 +134,17 @@
 }
 
 impl Response<'_> {
-    /// The HTTP status.
+    /// Returns the HTTP status code.
     pub fn status(&self) -> u16 {
         self.response.status().into()
     }
 
-    /// A header's value.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.response.header(name).map(|values| values.as_str())
     }
 
-    /// Reads the next line of a streamed body; `None` at its proper end.
+    /// Reads the next line of a streamed body; `None` at its end.
     pub async fn line(&mut self) -> Result<Option<String>, Error> {
         let mut line = String::new();
         let read =
@@ -151,29 +152,30 @@
         Ok((read > 0).then(|| line.trim_end().to_owned()))
     }
 
-    /// Reads the whole body and keeps the connection.
+    /// Reads the whole body and returns the connection to the pool.
     pub async fn bytes(mut self) -> Result<Vec<u8>, Error> {
         let mut bytes = Vec::new();
-        let mut piece = vec![0; READ];
-        let mut body = self.response.take_body().take(LARGEST);
+        let mut buffer = vec![0; READ_SIZE];
+        let mut body = self.response.take_body().take(MAX_BODY_BYTES);
         loop {
-            let read = timeout(STALL_LIMIT, body.read(&mut piece)).await.map_err(|_| Error::Timeout)?;
+            let read = timeout(STALL_TIMEOUT, body.read(&mut buffer)).await.map_err(|_| Error::Timeout)?;
             match read.map_err(|error| Error::Broken(error.to_string()))? {
                 0 => break,
-                read => bytes.extend_from_slice(&piece[..read]),
+                read => bytes.extend_from_slice(&buffer[..read]),
             }
         }
         self.release();
         Ok(bytes)
     }
 
-    /// Reads the whole body as JSON and keeps the connection.
+    /// Reads the whole body as JSON and returns the connection to the pool.
     pub async fn json<T: serde::de::DeserializeOwned>(self) -> Result<T, Error> {
         let bytes = self.bytes().await?;
         serde_json::from_slice(&bytes).map_err(|error| Error::Unexpected(error.to_string()))
     }
 
-    /// Keeps the connection after the body has been read to its end.
+    /// Returns the connection to the pool unless the peer closes it. The body must have been read to
+    /// its end.
     pub fn release(self) {
         let closes = self
             .response
@@ -185,14 +187,14 @@
     }
 }
 
-/// Kept connections.
+/// Pool of idle connections by address.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: Mutex<BTreeMap<SocketAddr, Vec<TcpStream>>>,
 }
 
 impl Pool {
-    /// Sends a request and waits for the answer's head, `limit` at most.
+    /// Sends a request and waits at most `limit` for the head of the response.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -204,8 +206,8 @@
     }
 
     async fn exchange(&self, address: SocketAddr, request: &Request) -> Result<Response<'_>, Error> {
-        let kept = if request.may_reuse { self.take(address).await } else { None };
-        let stream = match kept {
+        let pooled = if request.may_reuse { self.take(address).await } else { None };
+        let stream = match pooled {
             Some(stream) => stream,
             None => connect(address).await?,
         };
@@ -215,12 +217,12 @@
         Ok(Response { response, pool: self, address, stream })
     }
 
-    /// A kept connection that the peer has not closed meanwhile.
+    /// Takes an idle connection that the peer has not closed.
     async fn take(&self, address: SocketAddr) -> Option<TcpStream> {
         loop {
             let stream = self.idle.lock().unwrap_or_else(PoisonError::into_inner).get_mut(&address)?.pop()?;
             let mut byte = [0];
-            // An idle connection has nothing to read; anything else is its end.
+            // A usable idle connection has nothing to read: data or an error means it is unusable.
             if future::poll_once(stream.peek(&mut byte)).await.is_none() {
                 return Some(stream);
             }
@@ -229,15 +231,15 @@
 
     fn put(&self, address: SocketAddr, stream: TcpStream) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle.entry(address).or_default();
-        if kept.len() < IDLE {
-            kept.push(stream);
+        let pooled = idle.entry(address).or_default();
+        if pooled.len() < MAX_IDLE {
+            pooled.push(stream);
         }
     }
 }
 
 async fn connect(address: SocketAddr) -> Result<TcpStream, Error> {
     let stream = TcpStream::connect(address).await.map_err(|error| Error::Connect(error.to_string()))?;
-    prepare(&stream);
+    set_socket_options(&stream);
     Ok(stream)
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 over async-h1 as all tarragonhill processes use it: a server with bounds on whatever a
-//! peer sends, and a client that keeps connections.
+//! HTTP/1.1 server and client over async-h1: the server bounds size and time of everything that a
+//! peer sends, the client pools connections.
 //!
 //! ```no_run
 //! use std::time::Duration;
@@ -9,7 +9,7 @@
 //! let server = Server::bind("127.0.0.1:0", Limits::default()).await?;
 //! let address = server.address();
 //! async_std::task::spawn(server.serve(|inbound| async move { Outbound::text(200, inbound.path) }));
-//! let answer = Pool::default().send(address, Request::get("/hello"), Duration::from_secs(1)).await;
+//! let response = Pool::default().send(address, Request::get("/hello"), Duration::from_secs(1)).await;
 //! # Ok(())
 //! # }
 //! ```
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! The server: every connection and every part of a request is bounded.
+//! HTTP server that bounds connections and every part of a request, and shuts down gracefully.
 
 use std::{
     future::Future,
@@ -22,29 +22,28 @@
 
 use crate::stream::{Reader, Sender};
 
-/// How long an oversized request may go on sending once it has been answered.
+/// How long a client may go on sending a rejected request before its connection is closed.
 const LINGER: Duration = Duration::from_millis(300);
-/// A connection without a request under way is closed this long after closing has begun: a request
-/// may be on its way.
-const CLOSE_GRACE: Duration = Duration::from_millis(300);
-/// How often closing looks whether it is done.
-const CLOSE_POLL: Duration = Duration::from_millis(10);
-/// Unsent data may stand this long before the operating system gives the peer up; a connection that
-/// went silent for good ends by this.
+/// How long an idle connection stays open once shutdown has begun, for a request that is already
+/// on its way.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(300);
+/// Interval of polling for the end of a shutdown.
+const SHUTDOWN_POLL: Duration = Duration::from_millis(10);
+/// How long sent data may stay unacknowledged before the operating system closes the connection.
 const USER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Parts of a streamed body that may wait for a slow reader.
+/// Parts of a streamed body that are buffered for a slow reader.
 const STREAM_BUFFER: usize = 64;
 
-/// Bounds on what peers may send.
+/// Limits on connections and requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Largest body, bytes.
+    /// Largest body, in bytes.
     pub max_body: usize,
-    /// Longest time for a request's head, and for an idle connection.
+    /// Time to receive the head of a request, including the idle time before it.
     pub head_timeout: Duration,
-    /// Longest time for a request's body.
+    /// Time to receive the body of a request.
     pub body_timeout: Duration,
-    /// Most connections at once; more are closed on arrival.
+    /// Open connections; further ones are closed at once.
     pub max_connections: usize,
 }
 
@@ -59,62 +58,62 @@
     }
 }
 
-/// A request with its whole body.
+/// A received request with its whole body.
 #[derive(Debug)]
 pub struct Inbound {
-    /// Method, upper case.
+    /// Method in upper case.
     pub method: String,
     /// Path without the query.
     pub path: String,
     /// Query without the question mark; empty if there is none.
     pub query: String,
-    /// The body, or why it could not be read.
+    /// The body, or the error that occurred while reading it.
     pub body: Result<Vec<u8>, BodyError>,
     headers: Request,
     stream: TcpStream,
 }
 
-/// Why a body could not be read.
+/// Error while reading a request body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is larger than the limit.
+    /// The body exceeds [`Limits::max_body`].
     TooLarge,
-    /// It came too slowly.
+    /// The body was not received within [`Limits::body_timeout`].
     Timeout,
-    /// The connection broke or the framing is wrong.
+    /// The connection failed or the framing is invalid.
     Broken,
 }
 
 impl Inbound {
-    /// A header's value.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.header(name).map(|values| values.as_str())
     }
 
-    /// A watch on the peer that outlives the request.
+    /// Returns a watch for the client's disconnection, which may outlive the request.
     pub fn watch(&self) -> Watch {
         Watch(self.stream.clone())
     }
 }
 
-/// Tells when the peer is gone while it is only waiting for an answer.
+/// Detects that a client disconnects while its request is being handled.
 #[derive(Clone, Debug)]
 pub struct Watch(TcpStream);
 
 impl Watch {
-    /// Completes once the peer has closed the connection. async-h1 does not read while a response
-    /// is being made, so a look at the socket's next byte disturbs nothing.
+    /// Completes once the client has closed the connection. Peeking at the socket is safe, since
+    /// async-h1 does not read while the handler runs.
     pub async fn disconnected(&self) {
         let mut byte = [0];
         match self.0.peek(&mut byte).await {
             Ok(0) | Err(_) => {}
-            // The peer has sent its next request early: it is there, and can't be watched further.
+            // A pipelined request hides a later disconnection: treat the client as connected.
             Ok(_) => std::future::pending().await,
         }
     }
 }
 
-/// A response.
+/// A response to be sent.
 #[derive(Debug)]
 pub struct Outbound {
     status: u16,
@@ -129,36 +128,36 @@
 }
 
 impl Outbound {
-    /// A JSON response.
+    /// Creates a JSON response.
     pub fn json(status: u16, value: &impl serde::Serialize) -> Self {
         let body = serde_json::to_vec(value).unwrap_or_default();
         Self::whole(status, "application/json", body)
     }
 
-    /// A plain text response.
+    /// Creates a plain text response.
     pub fn text(status: u16, text: impl Into<String>) -> Self {
         Self::whole(status, "text/plain; charset=utf-8", text.into().into_bytes())
     }
 
-    /// A response with a body of the content type given.
+    /// Creates a response with a complete body.
     pub fn whole(status: u16, content_type: &'static str, body: Vec<u8>) -> Self {
         Self { status, headers: Vec::new(), body: Payload::Whole(content_type, body) }
     }
 
-    /// A response whose body is sent through the sender.
+    /// Creates a response whose body is sent through the returned sender.
     pub fn stream(status: u16, content_type: &'static str) -> (Self, Sender) {
         let (sender, receiver) = async_channel::bounded(STREAM_BUFFER);
         let body = Payload::Stream(content_type, receiver);
         (Self { status, headers: Vec::new(), body }, sender)
     }
 
-    /// The same response with one more header.
+    /// Adds a header.
     pub fn header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
     }
 
-    /// The HTTP status.
+    /// Returns the HTTP status code.
     pub fn status(&self) -> u16 {
         self.status
     }
@@ -184,18 +183,19 @@
     }
 }
 
-/// A bound listener.
+/// A server bound to an address.
 #[derive(Debug)]
 pub struct Server {
     listener: TcpListener,
     address: SocketAddr,
     limits: Limits,
     closing: Closing,
-    /// Dropped with the server, whether it has served to its end or not.
+    /// The sender is dropped with the server, whether `serve` has completed or was cancelled.
     finished: (async_channel::Sender<()>, async_channel::Receiver<()>),
 }
 
-/// Ends a server gracefully. Dropping the server's future instead cuts all connections.
+/// Shuts a server down gracefully. Dropping the future of [`Server::serve`] instead closes all
+/// connections at once.
 #[derive(Clone, Debug)]
 pub struct Closer {
     sender: async_channel::Sender<()>,
@@ -203,16 +203,16 @@
 }
 
 impl Closer {
-    /// Lets no new connection in, answers what is being sent or served, closes idle connections;
-    /// completes when all are closed.
+    /// Stops accepting connections, completes the requests that are being received or handled and
+    /// closes idle connections. Returns when all connections are closed.
     pub async fn close(&self) {
         self.sender.close();
-        // Not only until no connection is open: those in the system's backlog are not counted yet.
+        // The count of open connections is not enough: it leaves out the accept backlog.
         let _ = self.finished.recv().await;
     }
 }
 
-/// Seen by every connection of a server.
+/// Shutdown state shared by all connections of a server.
 #[derive(Clone, Debug)]
 struct Closing {
     sender: async_channel::Sender<()>,
@@ -226,7 +226,7 @@
         Self { sender, closed, open: Arc::default() }
     }
 
-    /// Completes once the server is being closed.
+    /// Completes once shutdown has begun.
     async fn begun(&self) {
         let _ = self.closed.recv().await;
     }
@@ -237,24 +237,24 @@
 }
 
 impl Server {
-    /// Listens on `address`; port 0 lets the system choose.
+    /// Listens on `address`; with port 0 the operating system picks a port.
     pub async fn bind(address: &str, limits: Limits) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         Ok(Self { listener, address, limits, closing: Closing::new(), finished: async_channel::bounded(1) })
     }
 
-    /// Where it listens.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What ends the server gracefully.
+    /// Returns a handle for a graceful shutdown.
     pub fn closer(&self) -> Closer {
         Closer { sender: self.closing.sender.clone(), finished: self.finished.1.clone() }
     }
 
-    /// Serves until it is closed or the future is dropped, which also ends all connections.
+    /// Serves until shutdown has completed. Dropping the future closes all connections.
     pub async fn serve<F, Fut>(self, handler: F)
     where
         F: Fn(Inbound) -> Fut + Send + Sync + 'static,
@@ -262,11 +262,11 @@
     {
         let handler = Arc::new(handler);
         let _finished = self.finished.0.clone();
-        // Dropped with this future; every connection watches for that.
+        // Dropped with this future, which ends all connection tasks.
         let (_alive, ended) = async_channel::bounded::<()>(1);
         while let Some(accepted) = self.accept().await {
             let Ok((stream, _)) = accepted else {
-                // Out of file descriptors, most likely: accepting again at once would spin.
+                // Avoids a busy loop when the process is out of file descriptors.
                 task::sleep(Duration::from_millis(10)).await;
                 continue;
             };
@@ -277,7 +277,7 @@
             }
             let (handler, limits, ended) = (handler.clone(), self.limits, ended.clone());
             task::spawn(async move {
-                let served = connection(stream, limits, &*handler, &closing);
+                let served = serve_connection(stream, limits, &*handler, &closing);
                 let ended = async {
                     let _ = ended.recv().await;
                 };
@@ -285,34 +285,35 @@
                 closing.open.fetch_sub(1, Ordering::Relaxed);
             });
         }
-        // Closed before the open connections have ended: one that the system takes meanwhile would be
-        // accepted by nobody, and be reset with its request in the end.
+        // Close the listener before waiting: connections that entered the accept backlog now would
+        // be reset with their requests.
         drop(self.listener);
         while self.closing.open.load(Ordering::Relaxed) > 0 {
-            task::sleep(CLOSE_POLL).await;
+            task::sleep(SHUTDOWN_POLL).await;
         }
     }
 
-    /// The next connection; none once the server is being closed and the system's backlog is
-    /// empty: whoever is in it has connected and expects an answer.
+    /// Accepts the next connection. During shutdown it accepts what is in the backlog, since those
+    /// clients are connected, and then returns `None`.
     async fn accept(&self) -> Option<io::Result<(TcpStream, SocketAddr)>> {
         let accept = async { Some(self.listener.accept().await) };
         let closed = async {
             self.closing.begun().await;
-            task::sleep(CLOSE_POLL).await;
-            // Asks the system itself: on a busy machine word of a connection may be late.
+            task::sleep(SHUTDOWN_POLL).await;
+            // Polls the listener directly, since its readiness event may be delayed on a busy host.
             poll_once(self.listener.accept()).await
         };
         accept.or(closed).await
     }
 }
 
-async fn connection<F, Fut>(stream: TcpStream, limits: Limits, handler: &F, closing: &Closing)
+/// Serves the requests of one connection, one after the other.
+async fn serve_connection<F, Fut>(stream: TcpStream, limits: Limits, handler: &F, closing: &Closing)
 where
     F: Fn(Inbound) -> Fut + Send + Sync + 'static,
     Fut: Future<Output = Outbound> + Send + 'static,
 {
-    prepare(&stream);
+    set_socket_options(&stream);
     let started = AtomicBool::new(false);
     let endpoint = |request: Request| {
         started.store(true, Ordering::Relaxed);
@@ -323,43 +324,46 @@
     let mut answered = false;
     loop {
         started.store(false, Ordering::Relaxed);
-        let one = async { Next::Done(server.accept_one().await) };
-        let idle = async {
+        let exchange = async { Event::Done(server.accept_one().await) };
+        let shutdown = async {
             closing.begun().await;
-            // Whoever has only just connected is about to send; whoever has been answered is not.
-            let grace = if answered { CLOSE_GRACE } else { limits.head_timeout };
-            unless_started(grace, &started).await;
-            Next::Closed
+            // A new connection gets the full time for its first request: a client that has just
+            // connected is about to send one.
+            let grace = if answered { SHUTDOWN_GRACE } else { limits.head_timeout };
+            sleep_unless_started(grace, &started).await;
+            Event::Shutdown
         };
         let overdue = async {
-            unless_started(limits.head_timeout, &started).await;
-            Next::Overdue
+            sleep_unless_started(limits.head_timeout, &started).await;
+            Event::HeadTimeout
         };
-        match one.or(overdue).or(idle).await {
-            Next::Done(Ok(ConnectionStatus::KeepAlive)) if !closing.has_begun() => answered = true,
-            Next::Done(Ok(_)) | Next::Closed => return,
-            Next::Done(Err(error)) if is_bad_head(&error) => {
+        match exchange.or(overdue).or(shutdown).await {
+            Event::Done(Ok(ConnectionStatus::KeepAlive)) if !closing.has_begun() => answered = true,
+            Event::Done(Ok(_)) | Event::Shutdown => return,
+            Event::Done(Err(error)) if is_bad_head(&error) => {
                 return reject(stream, 400, "bad_request", "the request's head is malformed or too large")
                     .await;
             }
-            Next::Done(Err(_)) => return,
-            Next::Overdue => {
+            Event::Done(Err(_)) => return,
+            Event::HeadTimeout => {
                 return reject(stream, 408, "slow_request", "the request's head came too slowly").await;
             }
         }
     }
 }
 
-enum Next {
+/// What ended the wait for a request on a connection.
+enum Event {
+    /// async-h1 handled a request, or failed to read one.
     Done(http_types::Result<ConnectionStatus>),
-    Overdue,
-    Closed,
+    HeadTimeout,
+    Shutdown,
 }
 
-/// Completes after `span` unless a request's head has come by then. async-h1 has a limit of its
-/// own, but it is fixed at a minute and ends without an answer.
-async fn unless_started(span: Duration, started: &AtomicBool) {
-    task::sleep(span).await;
+/// Completes after `delay` unless the head of a request has been received by then. Replaces the
+/// timeout of async-h1, which is fixed at one minute and sends no response.
+async fn sleep_unless_started(delay: Duration, started: &AtomicBool) {
+    task::sleep(delay).await;
     if started.load(Ordering::Relaxed) {
         std::future::pending::<()>().await;
     }
@@ -370,9 +374,9 @@
     (400..=500).contains(&status)
 }
 
-/// Sets what every accepted or opened socket needs: small writes leave at once, and unsent data
-/// does not wait for a silent peer for ever.
-pub(crate) fn prepare(stream: &TcpStream) {
+/// Sets the options of an accepted or connected socket: no delay for small writes, and a limit on
+/// how long sent data may stay unacknowledged.
+pub(crate) fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT));
 }
@@ -384,7 +388,7 @@
 {
     let body = read_body(&mut request, limits).await;
     if body.is_err() {
-        // async-h1 would go on reading the rest before it closes.
+        // async-h1 would read the rest of the body before it closes the connection.
         let stream = stream.clone();
         task::spawn(async move {
             task::sleep(LINGER).await;
@@ -417,7 +421,7 @@
     }
 }
 
-/// Answers a request that async-h1 could not read.
+/// Responds to a request that async-h1 could not parse, and closes the connection.
 async fn reject(mut stream: TcpStream, status: u16, code: &str, message: &str) {
     let body = serde_json::json!({"error": {"code": code, "message": message, "not_run": true}}).to_string();
     let reason = if status == 408 { "Request Timeout" } else { "Bad Request" };
@@ -428,7 +432,7 @@
     let _ = stream.write_all(head.as_bytes()).await;
     let _ = stream.write_all(body.as_bytes()).await;
     let _ = stream.shutdown(std::net::Shutdown::Write);
-    // Closing with unread data would reset the connection and take the answer with it.
+    // Closing a socket with unread data resets the connection, and the client may lose the response.
     let drain = futures_lite::io::copy(&mut stream, futures_lite::io::sink());
     let _ = future::timeout(LINGER, drain).await;
 }
--- a/crates/http/src/stream.rs
+++ b/crates/http/src/stream.rs
@@ -1,4 +1,4 @@
-//! Response bodies that are produced while they are sent.
+//! Streamed response bodies.
 
 use std::{
     io,
@@ -9,37 +9,38 @@
 use async_channel::Receiver;
 use futures_lite::{AsyncBufRead, AsyncRead, Stream};
 
-/// Feeds a streamed body. Sending an error cuts the connection, so that the receiver sees the body
-/// as broken and never as whole.
+/// Sends the parts of a streamed body. Sending an error closes the connection, so that the peer
+/// sees a truncated body and not a complete one.
 pub type Sender = async_channel::Sender<io::Result<Vec<u8>>>;
 
-/// Reads what a [`Sender`] sends.
+/// Adapts the parts of a streamed body to the reader that `http_types::Body` takes.
 pub(crate) struct Reader {
     receiver: Pin<Box<Receiver<io::Result<Vec<u8>>>>>,
     chunk: Vec<u8>,
-    read: usize,
+    /// Bytes of `chunk` that have been consumed.
+    consumed: usize,
 }
 
 impl Reader {
     pub(crate) fn new(receiver: Receiver<io::Result<Vec<u8>>>) -> Self {
-        Self { receiver: Box::pin(receiver), chunk: Vec::new(), read: 0 }
+        Self { receiver: Box::pin(receiver), chunk: Vec::new(), consumed: 0 }
     }
 }
 
 impl AsyncBufRead for Reader {
     fn poll_fill_buf(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
-        while this.read == this.chunk.len() {
+        while this.consumed == this.chunk.len() {
             match ready!(this.receiver.as_mut().poll_next(cx)) {
-                Some(chunk) => (this.chunk, this.read) = (chunk?, 0),
+                Some(chunk) => (this.chunk, this.consumed) = (chunk?, 0),
                 None => return Poll::Ready(Ok(&[])),
             }
         }
-        Poll::Ready(Ok(&this.chunk[this.read..]))
+        Poll::Ready(Ok(&this.chunk[this.consumed..]))
     }
 
     fn consume(self: Pin<&mut Self>, amount: usize) {
-        self.get_mut().read += amount;
+        self.get_mut().consumed += amount;
     }
 }
 
--- a/crates/http/tests/client.rs
+++ b/crates/http/tests/client.rs
@@ -1,4 +1,4 @@
-//! How the client bounds what it waits for.
+//! Timeouts of the client.
 
 use std::time::Duration;
 
@@ -6,13 +6,12 @@
 use futures_lite::{AsyncReadExt as _, AsyncWriteExt as _};
 use tarragonhill_http::client::{Error, Pool, Request};
 
-/// Longest wait for what must come about; nothing is asserted about how long it takes.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Longest wait for a head.
-const LIMIT: Duration = Duration::from_secs(5);
+/// Limit that fails the test instead of blocking it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[test]
-fn an_answer_that_stalls_midway_does_not_hold_its_caller_for_ever() {
+fn stalled_response_body_times_out() {
     task::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback can be bound");
         let address = listener.local_addr().expect("an address");
@@ -24,8 +23,8 @@
             let _ = stream.read_to_end(&mut rest).await;
         });
         let pool = Pool::default();
-        let answer = pool.send(address, Request::get("/x"), LIMIT).await.expect("a head");
-        let read = future::timeout(PATIENCE, answer.bytes()).await.expect("it is given up");
+        let response = pool.send(address, Request::get("/x"), HEAD_TIMEOUT).await.expect("a head");
+        let read = future::timeout(TEST_TIMEOUT, response.bytes()).await.expect("the read times out");
         assert_eq!(read, Err(Error::Timeout));
         serving.cancel().await;
     });
--- a/crates/http/tests/server.rs
+++ b/crates/http/tests/server.rs
@@ -1,4 +1,4 @@
-//! The server's bounds, and how it closes.
+//! Limits and graceful shutdown of the server.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,8 +6,8 @@
 use futures_lite::{AsyncReadExt as _, AsyncWriteExt as _};
 use tarragonhill_http::server::{Limits, Outbound, Server};
 
-/// Longest wait for what must come about; nothing is asserted about how long it takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Limit that fails a test instead of blocking it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 const REQUEST: &[u8] = b"GET /x HTTP/1.1\r\nhost: x\r\n\r\n";
 
 async fn bind(limits: Limits) -> Server {
@@ -18,7 +18,7 @@
     TcpStream::connect(address).await.expect("connects")
 }
 
-/// Reads until `end` has come or the connection is closed.
+/// Reads until `end` has arrived or the connection is closed.
 async fn read(stream: &mut TcpStream, end: &str) -> String {
     let mut all = Vec::new();
     let mut part = [0; 1_024];
@@ -30,17 +30,17 @@
             }
         }
     };
-    future::timeout(PATIENCE, reading).await.expect("an answer or the end");
+    future::timeout(TEST_TIMEOUT, reading).await.expect("a response or the end");
     String::from_utf8_lossy(&all).into_owned()
 }
 
-/// A server is closed while one request is being served and another is half sent. Both are answered.
+/// Shutdown begins while one request is being handled and another one is half received.
 #[test]
-fn closing_answers_what_is_served_and_what_is_being_sent() {
+fn shutdown_completes_requests_being_handled_or_received() {
     task::block_on(async {
         let server = bind(Limits::default()).await;
         let (address, closer) = (server.address(), server.closer());
-        let (go, gate) = async_channel::bounded::<()>(1);
+        let (unblock, gate) = async_channel::bounded::<()>(1);
         let serving = task::spawn(server.serve(move |_| {
             let gate = gate.clone();
             async move {
@@ -53,18 +53,18 @@
         half.write_all(&REQUEST[..9]).await.expect("sent");
         let closing = task::spawn(async move { closer.close().await });
         half.write_all(&REQUEST[9..]).await.expect("sent");
-        drop(go);
+        drop(unblock);
         assert!(read(&mut served, "done").await.contains("200 OK"));
         assert!(read(&mut half, "done").await.contains("200 OK"));
-        future::timeout(PATIENCE, closing).await.expect("it closes");
-        future::timeout(PATIENCE, serving).await.expect("it ends");
+        future::timeout(TEST_TIMEOUT, closing).await.expect("the shutdown completes");
+        future::timeout(TEST_TIMEOUT, serving).await.expect("the server task ends");
     });
 }
 
-/// A connection stands in the system's backlog, its request sent, when the server is closed and its
-/// task ended. Nobody has accepted it yet, so it does not count as open (found by `check`, seed 23).
+/// A connection in the accept backlog does not count as open yet. Shutdown must not end before its
+/// request is answered.
 #[test]
-fn closing_answers_the_backlog() {
+fn shutdown_answers_the_accept_backlog() {
     task::block_on(async {
         for _ in 0..20 {
             let server = bind(Limits::default()).await;
@@ -79,10 +79,10 @@
     });
 }
 
-/// A caller connects just before the server is closed and is slow to send, as on a busy host. Its
-/// connection was taken, so its request must be answered (found by `check`, seed 21).
+/// A client that connects just before shutdown may be slow to send its request, which must still be
+/// answered.
 #[test]
-fn closing_waits_for_the_first_request_of_a_new_connection() {
+fn shutdown_waits_for_the_first_request_of_a_new_connection() {
     task::block_on(async {
         let server = bind(Limits::default()).await;
         let (address, closer) = (server.address(), server.closer());
@@ -95,15 +95,14 @@
     });
 }
 
-/// An entry waits for its last requests. Who connects meanwhile must be refused by the system: a
-/// connection that nobody accepts is reset with its request in the end, which looks like a request
-/// that was cut (found by `check`, seed 21).
+/// During shutdown the operating system must refuse new connections. Those left in the accept
+/// backlog would be reset, and the client could not tell whether its request was handled.
 #[test]
-fn closing_server_takes_no_connection_that_it_would_reset() {
+fn connections_are_refused_during_shutdown() {
     task::block_on(async {
         let server = bind(Limits::default()).await;
         let (address, closer) = (server.address(), server.closer());
-        let (go, gate) = async_channel::bounded::<()>(1);
+        let (unblock, gate) = async_channel::bounded::<()>(1);
         let _serving = task::spawn(server.serve(move |_| {
             let gate = gate.clone();
             async move {
@@ -119,15 +118,15 @@
                 task::sleep(Duration::from_millis(10)).await;
             }
         };
-        future::timeout(PATIENCE, refused).await.expect("connections are refused");
-        drop(go);
+        future::timeout(TEST_TIMEOUT, refused).await.expect("connections are refused");
+        drop(unblock);
         assert!(read(&mut served, "done").await.contains("200 OK"));
     });
 }
 
-/// A sender that never finishes its head would hold a connection for ever.
+/// A client that never completes the head of its request would occupy a connection forever.
 #[test]
-fn slow_head_is_answered_and_closed() {
+fn slow_head_is_rejected() {
     task::block_on(async {
         let limits = Limits { head_timeout: Duration::from_millis(50), ..Limits::default() };
         let server = bind(limits).await;
@@ -135,8 +134,8 @@
         let _serving = task::spawn(server.serve(|_| async { Outbound::text(200, "done") }));
         let mut slow = connect(address).await;
         slow.write_all(b"GET /").await.expect("sent");
-        let answer = read(&mut slow, "}").await;
-        assert!(answer.starts_with("HTTP/1.1 408") && answer.contains("slow_request"), "{answer}");
+        let response = read(&mut slow, "}").await;
+        assert!(response.starts_with("HTTP/1.1 408") && response.contains("slow_request"), "{response}");
     });
 }
 
