--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use crate::{clock::Time, message::Beat};
+use crate::{clock::Time, message::Heartbeat};
 
 /// Maximum age of the settings, unless recent heartbeats from all entries were received.
 pub const MAX_AGE: Duration = Duration::from_secs(8);
@@ -53,13 +53,13 @@
     }
 
     /// Records a heartbeat. If the peer has the same version, its confirmation applies here as well.
-    pub fn record_heartbeat(&mut self, now: Time, peer: &Arc<str>, beat: &Beat) {
-        self.peers.insert(peer.clone(), PeerVersion { received_at: now, version: beat.version });
-        if beat.version > self.version {
+    pub fn record_heartbeat(&mut self, now: Time, peer: &Arc<str>, heartbeat: &Heartbeat) {
+        self.peers.insert(peer.clone(), PeerVersion { received_at: now, version: heartbeat.version });
+        if heartbeat.version > self.version {
             self.behind_since = self.behind_since.or(Some(now));
         }
-        if beat.version == self.version && beat.age <= MAX_AGE {
-            let at = Time::from_micros(now.as_micros().saturating_sub(crate::clock::micros(beat.age)));
+        if heartbeat.version == self.version && heartbeat.age <= MAX_AGE {
+            let at = Time::from_micros(now.as_micros().saturating_sub(crate::clock::micros(heartbeat.age)));
             self.confirmed_at = self.confirmed_at.max(Some(at));
         }
     }
--- a/crates/core/src/idempotency.rs
+++ b/crates/core/src/idempotency.rs
@@ -83,7 +83,7 @@
         State::Started if found.token == token => Action::Dispatch,
         // The request that wrote the record may have dispatched the call, even if it has since
         // failed, so the call is never sent again.
-        State::Started => Action::Refuse(Refusal::run(
+        State::Started => Action::Refuse(Refusal::may_have_run(
             Code::InProgress,
             "a call under this idempotency key has started and its outcome is not recorded",
         )),
@@ -95,7 +95,7 @@
 
 /// Returns the refusal for a call with unknown outcome.
 pub fn refuse_unknown_outcome() -> Refusal {
-    Refusal::run(
+    Refusal::may_have_run(
         Code::OutcomeUnknown,
         "the call was sent once and its outcome is not known; it will not be sent again",
     )
