--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between protobuf types and the types of the decisions.
+//! Conversions between protobuf messages and [`tarragonhill_core::message`].
 
 use std::{fmt, time::Duration};
 
@@ -10,32 +10,32 @@
 
 use crate::proto::{self, event, order, peer_reply, peer_request};
 
-/// A message that does not make sense.
+/// Error in a received message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// A part that every message of its kind has is missing.
+    /// The named required field is missing.
     Missing(&'static str),
-    /// A name or number is none of those known.
+    /// The named field has an invalid value, which is the second part.
     Unknown(&'static str, String),
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Missing(part) => write!(f, "message without {part}"),
-            Self::Unknown(part, value) => write!(f, "message with unknown {part} {value:?}"),
+            Self::Missing(field) => write!(f, "message without {field}"),
+            Self::Unknown(field, value) => write!(f, "message with unknown {field} {value:?}"),
         }
     }
 }
 
 impl std::error::Error for DecodeError {}
 
-fn need<T>(part: &'static str, value: Option<T>) -> Result<T, DecodeError> {
-    value.ok_or(DecodeError::Missing(part))
+fn require<T>(field: &'static str, value: Option<T>) -> Result<T, DecodeError> {
+    value.ok_or(DecodeError::Missing(field))
 }
 
-fn named<T: std::str::FromStr>(part: &'static str, value: &str) -> Result<T, DecodeError> {
-    value.parse().map_err(|_| DecodeError::Unknown(part, value.to_owned()))
+fn parse<T: std::str::FromStr>(field: &'static str, value: &str) -> Result<T, DecodeError> {
+    value.parse().map_err(|_| DecodeError::Unknown(field, value.to_owned()))
 }
 
 fn status(value: u32) -> Result<u16, DecodeError> {
@@ -50,14 +50,14 @@
 }
 
 impl From<proto::Attempt> for Attempt {
-    fn from(sent: proto::Attempt) -> Self {
-        let request = u128::from(sent.request_high) << 64 | u128::from(sent.request_low);
-        Self { request: Request(request), number: sent.number }
+    fn from(message: proto::Attempt) -> Self {
+        let request = u128::from(message.request_high) << 64 | u128::from(message.request_low);
+        Self { request: Request(request), number: message.number }
     }
 }
 
-fn attempt(sent: Option<proto::Attempt>) -> Result<Attempt, DecodeError> {
-    need("attempt", sent).map(Attempt::from)
+fn attempt(message: Option<proto::Attempt>) -> Result<Attempt, DecodeError> {
+    require("attempt", message).map(Attempt::from)
 }
 
 impl From<Work> for proto::Work {
@@ -76,18 +76,18 @@
     }
 }
 
-fn work(sent: Option<proto::Work>) -> Result<Work, DecodeError> {
-    let sent = need("work", sent)?;
+fn work(message: Option<proto::Work>) -> Result<Work, DecodeError> {
+    let message = require("work", message)?;
     Ok(Work {
-        attempt: attempt(sent.attempt)?,
-        endpoint: sent.endpoint.into(),
-        customer: sent.customer.into(),
-        key: sent.key.into(),
-        prompt_tokens: sent.prompt_tokens,
-        max_tokens: sent.max_tokens,
-        slack: Duration::from_micros(sent.slack_us),
-        timeout: Duration::from_micros(sent.patience_us),
-        suspect: sent.suspect,
+        attempt: attempt(message.attempt)?,
+        endpoint: message.endpoint.into(),
+        customer: message.customer.into(),
+        key: message.key.into(),
+        prompt_tokens: message.prompt_tokens,
+        max_tokens: message.max_tokens,
+        slack: Duration::from_micros(message.slack_us),
+        timeout: Duration::from_micros(message.patience_us),
+        suspect: message.suspect,
     })
 }
 
@@ -103,12 +103,12 @@
 }
 
 impl From<proto::Beat> for Heartbeat {
-    fn from(sent: proto::Beat) -> Self {
+    fn from(message: proto::Beat) -> Self {
         Self {
-            version: sent.version,
-            age: Duration::from_micros(sent.age_us),
-            interval: Duration::from_micros(sent.every_us),
-            loads: sent.loads.into_iter().map(Load::from).collect(),
+            version: message.version,
+            age: Duration::from_micros(message.age_us),
+            interval: Duration::from_micros(message.every_us),
+            loads: message.loads.into_iter().map(Load::from).collect(),
         }
     }
 }
@@ -127,14 +127,14 @@
 }
 
 impl From<proto::Load> for Load {
-    fn from(sent: proto::Load) -> Self {
+    fn from(message: proto::Load) -> Self {
         Self {
-            endpoint: sent.endpoint.into(),
-            free_pieces: sent.free_pieces,
-            capacity_pieces: sent.capacity_pieces,
-            queued_tokens: sent.queued_tokens,
-            running: sent.running,
-            leaving: sent.leaving,
+            endpoint: message.endpoint.into(),
+            free_pieces: message.free_pieces,
+            capacity_pieces: message.capacity_pieces,
+            queued_tokens: message.queued_tokens,
+            running: message.running,
+            leaving: message.leaving,
         }
     }
 }
@@ -173,8 +173,8 @@
 impl TryFrom<proto::Order> for Order {
     type Error = DecodeError;
 
-    fn try_from(sent: proto::Order) -> Result<Self, Self::Error> {
-        Ok(match need("order", sent.body)? {
+    fn try_from(message: proto::Order) -> Result<Self, Self::Error> {
+        Ok(match require("order", message.body)? {
             order::Body::Hello(hello) => Self::Hello { entry: hello.entry.into() },
             order::Body::Hold(hold) => Self::Hold { work: work(hold.work)?, ahead: hold.ahead },
             order::Body::Prefill(prefill) => Self::Prefill {
@@ -246,23 +246,23 @@
 impl TryFrom<proto::Event> for Event {
     type Error = DecodeError;
 
-    fn try_from(sent: proto::Event) -> Result<Self, Self::Error> {
-        Ok(match need("event", sent.body)? {
+    fn try_from(message: proto::Event) -> Result<Self, Self::Error> {
+        Ok(match require("event", message.body)? {
             event::Body::Held(held) => Self::Held {
                 attempt: attempt(held.attempt)?,
                 ready_in: Duration::from_micros(held.ready_in_us),
             },
             event::Body::Refused(refused) => Self::Refused {
                 attempt: attempt(refused.attempt)?,
-                code: named("code", &refused.code)?,
+                code: parse("code", &refused.code)?,
                 not_run: refused.not_run,
                 retry_after: Duration::from_micros(refused.retry_after_us),
             },
-            event::Body::Prefilled(done) => Self::Prefilled {
-                attempt: attempt(done.attempt)?,
-                source: done.source.into(),
-                kv: done.kv.into(),
-                ttl: Duration::from_micros(done.lives_us),
+            event::Body::Prefilled(prefilled) => Self::Prefilled {
+                attempt: attempt(prefilled.attempt)?,
+                source: prefilled.source.into(),
+                kv: prefilled.kv.into(),
+                ttl: Duration::from_micros(prefilled.lives_us),
             },
             event::Body::Tokens(tokens) => Self::Tokens {
                 attempt: attempt(tokens.attempt)?,
@@ -271,7 +271,7 @@
             },
             event::Body::Ended(ended) => Self::Ended { attempt: attempt(ended.attempt)?, total: ended.total },
             event::Body::Broken(broken) => {
-                Self::Failed { attempt: attempt(broken.attempt)?, cause: named("breakage", &broken.code)? }
+                Self::Failed { attempt: attempt(broken.attempt)?, cause: parse("cause", &broken.code)? }
             }
             event::Body::Answered(answered) => Self::Answered {
                 attempt: attempt(answered.attempt)?,
@@ -284,8 +284,8 @@
 }
 
 impl From<PeerRequest> for peer_request::Body {
-    fn from(ask: PeerRequest) -> Self {
-        match ask {
+    fn from(request: PeerRequest) -> Self {
+        match request {
             PeerRequest::Borrow { customer, loan } => Self::Borrow(proto::Borrow {
                 customer: customer.to_string(),
                 tokens: loan.tokens,
@@ -307,8 +307,8 @@
 impl TryFrom<peer_request::Body> for PeerRequest {
     type Error = DecodeError;
 
-    fn try_from(sent: peer_request::Body) -> Result<Self, Self::Error> {
-        Ok(match sent {
+    fn try_from(message: peer_request::Body) -> Result<Self, Self::Error> {
+        Ok(match message {
             peer_request::Body::Borrow(borrow) => Self::Borrow {
                 customer: borrow.customer.into(),
                 loan: tarragonhill_core::quota::LoanRequest {
@@ -332,8 +332,8 @@
 }
 
 impl From<PeerReply> for proto::PeerReply {
-    fn from(answer: PeerReply) -> Self {
-        let body = match answer {
+    fn from(reply: PeerReply) -> Self {
+        let body = match reply {
             PeerReply::Lent(grant) => peer_reply::Body::Lent(proto::Lent {
                 tokens: grant.tokens,
                 term_us: micros(grant.term),
@@ -357,8 +357,8 @@
 impl TryFrom<proto::PeerReply> for PeerReply {
     type Error = DecodeError;
 
-    fn try_from(sent: proto::PeerReply) -> Result<Self, Self::Error> {
-        Ok(match need("reply", sent.body)? {
+    fn try_from(message: proto::PeerReply) -> Result<Self, Self::Error> {
+        Ok(match require("reply", message.body)? {
             peer_reply::Body::Lent(lent) => Self::Lent(tarragonhill_core::quota::Grant {
                 tokens: lent.tokens,
                 term: Duration::from_micros(lent.term_us),
@@ -373,8 +373,8 @@
             }
             peer_reply::Body::Noted(proto::Noted {}) => Self::Acknowledged,
             peer_reply::Body::Renewed(renewed) => Self::Renewed { granted: renewed.granted },
-            peer_reply::Body::NotHome(elsewhere) => {
-                Self::NotHome { owner: elsewhere.owner.into(), epoch: elsewhere.epoch }
+            peer_reply::Body::NotHome(not_home) => {
+                Self::NotHome { owner: not_home.owner.into(), epoch: not_home.epoch }
             }
         })
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,15 +1,15 @@
-//! Messages between tarragonhill processes on the wire.
+//! Protobuf messages between tarragonhill processes.
 //!
-//! The generated protobuf types stay behind `From` and `TryFrom`; decisions only see the types of
-//! [`tarragonhill_core::message`].
+//! The generated types are in [`proto`]. `From` and `TryFrom` convert them to and from the types of
+//! `tarragonhill_core`, such as [`tarragonhill_core::message`].
 //!
 //! ```
 //! use tarragonhill_core::message::{Heartbeat, Order};
 //! use tarragonhill_wire::proto;
 //!
 //! let order = Order::Heartbeat(Heartbeat::default());
-//! let sent = proto::Order::from(order.clone());
-//! assert_eq!(Order::try_from(sent), Ok(order));
+//! let encoded = proto::Order::from(order.clone());
+//! assert_eq!(Order::try_from(encoded), Ok(order));
 //! ```
 
 mod convert;
--- a/crates/wire/src/listen.rs
+++ b/crates/wire/src/listen.rs
@@ -1,10 +1,11 @@
-//! Where tonic servers listen.
+//! Listening sockets of tonic servers.
 
 use std::{io, net::SocketAddr};
 
 use tonic::transport::server::TcpIncoming;
 
-/// Listens on `address` for tonic, with no-delay on every accepted socket; gives the address bound.
+/// Binds a listener for a tonic server, with `TCP_NODELAY` on accepted sockets, and returns it with
+/// the bound address.
 pub fn listen(address: SocketAddr) -> io::Result<(TcpIncoming, SocketAddr)> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
--- a/crates/wire/src/proto.rs
+++ b/crates/wire/src/proto.rs
@@ -60,14 +60,14 @@
     /// Time until the first token is due, counted from arrival of the message.
     #[prost(uint64, tag = "7")]
     pub slack_us: u64,
-    /// Time until the attempt is abandoned, counted likewise.
+    /// Time until the work is refused if it has not started, counted likewise.
     #[prost(uint64, tag = "8")]
     pub patience_us: u64,
     /// Whether the request was running when an endpoint crashed.
     #[prost(bool, tag = "9")]
     pub suspect: bool,
 }
-/// Reserves KV cache for a decode. With `ahead`, memory that is about to be freed may be reserved.
+/// Requests a hold on decode memory. With `ahead`, memory that is about to be freed may be promised.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Hold {
     #[prost(message, optional, tag = "1")]
@@ -99,11 +99,11 @@
     /// Index of the first token to send; above zero when an interrupted decode resumes.
     #[prost(uint32, tag = "4")]
     pub from_index: u32,
-    /// Whether a Hold was granted for this attempt.
+    /// Whether a hold was granted for this attempt.
     #[prost(bool, tag = "5")]
     pub held: bool,
 }
-/// Calls a service that has no prefill and decode stages.
+/// Calls a plain service, which has no prefill and decode stages.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Call {
     #[prost(message, optional, tag = "1")]
@@ -146,7 +146,7 @@
         Beat(super::Beat),
     }
 }
-/// Grants a Hold. `ready_in_us` is the time until the memory is free.
+/// Grants a hold. `ready_in_us` is the time until the memory is free.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Held {
     #[prost(message, optional, tag = "1")]
@@ -166,7 +166,7 @@
     #[prost(uint64, tag = "4")]
     pub retry_after_us: u64,
 }
-/// Completes a prefill. The endpoint keeps the result for `lives_us`.
+/// Completes a prefill. The engine keeps the KV cache for `lives_us`.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Prefilled {
     #[prost(message, optional, tag = "1")]
@@ -203,7 +203,7 @@
     #[prost(string, tag = "2")]
     pub code: ::prost::alloc::string::String,
 }
-/// Completes a Call.
+/// Completes a call of a plain service.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Answered {
     #[prost(message, optional, tag = "1")]
@@ -230,17 +230,17 @@
 pub struct Load {
     #[prost(string, tag = "1")]
     pub endpoint: ::prost::alloc::string::String,
-    /// KV cache pieces that are neither used nor reserved.
+    /// Memory pieces that are not in use, held or promised.
     #[prost(uint32, tag = "2")]
     pub free_pieces: u32,
     #[prost(uint32, tag = "3")]
     pub capacity_pieces: u32,
-    /// Prompt tokens queued or being prefilled.
+    /// Queued tokens; on prefill endpoints, running prompts are included.
     #[prost(uint64, tag = "4")]
     pub queued_tokens: u64,
     #[prost(uint32, tag = "5")]
     pub running: u32,
-    /// Whether the endpoint is draining.
+    /// Whether the endpoint accepts no new work.
     #[prost(bool, tag = "6")]
     pub leaving: bool,
 }
@@ -268,7 +268,7 @@
         Look(super::Look),
     }
 }
-/// Asks the owner of a customer's quota for a lease of tokens, or returns tokens to it.
+/// Borrows quota tokens from a customer's home, or returns unspent ones.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Borrow {
     #[prost(string, tag = "1")]
@@ -284,7 +284,7 @@
     #[prost(uint64, tag = "6")]
     pub serial: u64,
 }
-/// Reports a crash of a request fingerprint (with `crashed`) or queries its crash count.
+/// Queries the crash status of a request fingerprint, after counting a crash if `crashed`.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Strike {
     #[prost(string, tag = "1")]
@@ -294,7 +294,7 @@
     #[prost(bool, tag = "3")]
     pub crashed: bool,
 }
-/// Asks the receiver to read the ownership rows at once.
+/// Asks the receiver to read the shard rows now, because a shard was offered to it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Look {}
 /// Asks the successor to extend the sender's lease while the table is unreachable.
@@ -326,7 +326,7 @@
         Noted(super::Noted),
     }
 }
-/// Tokens leased for `term_us`; zero tokens if there are none.
+/// Tokens lent for `term_us`, possibly none.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Lent {
     #[prost(uint64, tag = "1")]
@@ -336,7 +336,7 @@
     #[prost(uint64, tag = "3")]
     pub retry_after_us: u64,
 }
-/// Crash count of a fingerprint, and how long the request is still refused.
+/// Crash status of a fingerprint: crashes counted, and how long the request is still quarantined.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Struck {
     #[prost(uint32, tag = "1")]
@@ -351,7 +351,7 @@
 }
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Noted {}
-/// The receiver does not own the customer's quota; `owner` does, or is empty if unknown.
+/// The receiver is not the customer's home. `owner` is the last known one; empty if unknown.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct NotHome {
     #[prost(string, tag = "1")]
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -1,4 +1,4 @@
-//! Every message survives the trip to protobuf and back; what makes no sense is refused.
+//! Round trips of all messages through protobuf, and rejection of invalid ones.
 
 use std::{sync::Arc, time::Duration};
 
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn orders_survive() {
+fn orders_round_trip() {
     for order in [
         Order::Hello { entry: name("entry") },
         Order::Hold { work: work(), ahead: true },
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn events_survive() {
+fn events_round_trip() {
     let attempt = attempt();
     for event in [
         Event::Held { attempt, ready_in: SPAN },
@@ -94,18 +94,18 @@
 }
 
 #[test]
-fn questions_and_answers_of_peers_survive() {
+fn peer_requests_and_replies_round_trip() {
     let loan = LoanRequest { tokens: 1, minimum: 2, unspent: 3, refund: 4, serial: 5 };
-    for ask in [
+    for request in [
         PeerRequest::Borrow { customer: name("faculty"), loan },
         PeerRequest::Heartbeat(heartbeat()),
         PeerRequest::CrashStatus { customer: name("faculty"), fingerprint: u64::MAX, crashed: true },
         PeerRequest::Renew { incarnation: 8 },
         PeerRequest::RefreshShards,
     ] {
-        assert_eq!(PeerRequest::try_from(proto::peer_request::Body::from(ask.clone())), Ok(ask));
+        assert_eq!(PeerRequest::try_from(proto::peer_request::Body::from(request.clone())), Ok(request));
     }
-    for answer in [
+    for reply in [
         PeerReply::Lent(Grant { tokens: 1, term: SPAN, retry_after: SPAN }),
         PeerReply::Heartbeat(heartbeat()),
         PeerReply::CrashStatus(CrashStatus { crashes: 2, quarantined: SPAN }),
@@ -113,19 +113,19 @@
         PeerReply::Acknowledged,
         PeerReply::NotHome { owner: name("entry"), epoch: 3 },
     ] {
-        assert_eq!(PeerReply::try_from(proto::PeerReply::from(answer.clone())), Ok(answer));
+        assert_eq!(PeerReply::try_from(proto::PeerReply::from(reply.clone())), Ok(reply));
     }
 }
 
 #[test]
-fn incomplete_or_unknown_parts_are_refused_by_name() {
+fn decode_error_names_the_missing_or_invalid_field() {
     assert_eq!(Order::try_from(proto::Order { body: None }), Err(DecodeError::Missing("order")));
     let hold =
         proto::Order { body: Some(proto::order::Body::Hold(proto::Hold { work: None, ahead: false })) };
     assert_eq!(Order::try_from(hold), Err(DecodeError::Missing("work")));
     let broken = proto::Broken { attempt: Some(attempt().into()), code: "melted".into() };
     let event = proto::Event { body: Some(proto::event::Body::Broken(broken)) };
-    assert_eq!(Event::try_from(event), Err(DecodeError::Unknown("breakage", "melted".into())));
+    assert_eq!(Event::try_from(event), Err(DecodeError::Unknown("cause", "melted".into())));
 }
 
 fn listed(id: &str) -> Row {
@@ -143,21 +143,20 @@
 }
 
 #[test]
-fn knowledge_of_the_store_survives() {
+fn store_snapshot_round_trips() {
     let listing = Listing { version: 12, whole: true, rows: vec![listed("i-1"), listed("i-2")] };
     let knowledge = Knowledge {
         versions: Versions { configuration: 11, endpoints: 9 },
         configuration: b"{\xff}".to_vec().into(),
         listing,
     };
-    let back = Knowledge::try_from(proto::Knowledge::from(&knowledge)).expect("it makes sense");
-    assert_eq!(back, knowledge);
-    let mut spoilt = proto::Knowledge::from(&knowledge);
-    spoilt.endpoints[1].stage = "resting".into();
-    assert_eq!(Knowledge::try_from(spoilt), Err(DecodeError::Unknown("stage", "resting".into())));
+    let decoded = Knowledge::try_from(proto::Knowledge::from(&knowledge)).expect("a valid snapshot");
+    assert_eq!(decoded, knowledge);
+    let mut invalid = proto::Knowledge::from(&knowledge);
+    invalid.endpoints[1].stage = "resting".into();
+    assert_eq!(Knowledge::try_from(invalid), Err(DecodeError::Unknown("stage", "resting".into())));
 }
 
-/// A digest as an entry of a busy site sends it.
 fn digest() -> Digest {
     let trend = |slope| Some(Trend { base: 0.012, slope });
     let growth = Growth([16_000, 16_500, 17_000, 18_000, 14_000, 6_000, 100, 0]);
@@ -186,17 +185,17 @@
 }
 
 #[test]
-fn digests_survive() {
+fn digests_round_trip() {
     let digest = digest();
     assert_eq!(Digest::try_from(proto::Digest::from(&digest)), Ok(digest));
 }
 
-/// Another version of the program, or a fault, sends times that are no numbers. Taken as they are, every
-/// comparison with them would be false, and no request be placed.
+/// Comparisons with NaN are always false, so a NaN from a faulty peer would keep requests from being
+/// placed.
 #[test]
-fn forecasts_that_are_no_numbers_count_as_none() {
-    let mut spoilt = proto::Digest::from(&digest());
-    spoilt.forecasts[0].reading = Some(proto::Trend { base: f64::NAN, slope: f64::NEG_INFINITY });
-    let digest = Digest::try_from(spoilt).expect("the rest makes sense");
+fn non_finite_forecasts_are_decoded_as_zero() {
+    let mut invalid = proto::Digest::from(&digest());
+    invalid.forecasts[0].reading = Some(proto::Trend { base: f64::NAN, slope: f64::NEG_INFINITY });
+    let digest = Digest::try_from(invalid).expect("a valid digest");
     assert_eq!(digest.forecasts["drafting"].prefill, Some(Trend { base: 0.0, slope: 0.0 }));
 }
