--- a/crates/wire/src/digest.rs
+++ b/crates/wire/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests between entries, as they are sent.
+//! Conversions of the digests that gateway replicas gossip.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -56,16 +56,16 @@
                     stage: change.stage.to_string(),
                 })
                 .collect(),
-            forecasts: digest.forecasts.iter().map(forecast).collect(),
+            forecasts: digest.forecasts.iter().map(encode_forecast).collect(),
             configuration: digest.versions.configuration,
             endpoints: digest.versions.endpoints,
         }
     }
 }
 
-fn forecast((service, forecast): (&Arc<str>, &Forecast)) -> proto::Forecast {
+fn encode_forecast((service, forecast): (&Arc<str>, &Forecast)) -> proto::Forecast {
     let trend = |trend: Option<Trend>| trend.map(|Trend { base, slope }| proto::Trend { base, slope });
-    let answers = |OutputLength { event_tokens, spread, events, weight }| proto::Answers {
+    let output_length = |OutputLength { event_tokens, spread, events, weight }| proto::Answers {
         event_tokens,
         spread,
         events,
@@ -78,7 +78,7 @@
         own_reading: trend(forecast.local_prefill),
         event: trend(forecast.event_interval),
         memory: forecast.memory,
-        answers: forecast.output_length.map(answers),
+        answers: forecast.output_length.map(output_length),
     }
 }
 
@@ -117,21 +117,21 @@
         let mut failing = BTreeMap::new();
         for share in digest.shares {
             let endpoint: Arc<str> = share.endpoint.as_str().into();
-            let taken = Share {
+            let decoded = Share {
                 running: share.running,
                 memory: share.memory,
                 reading: share.reading,
-                growth: growth(&share),
+                growth: decode_growth(&share),
             };
-            if taken != Share::default() {
-                shares.insert(endpoint.clone(), taken);
+            if decoded != Share::default() {
+                shares.insert(endpoint.clone(), decoded);
             }
             if share.failing > 0 {
                 failing.insert(endpoint, u16::try_from(share.failing).unwrap_or(u16::MAX));
             }
         }
         let changing: Result<BTreeMap<Arc<str>, Change>, _> =
-            digest.changing.into_iter().map(change).collect();
+            digest.changing.into_iter().map(decode_change).collect();
         Ok(Self {
             name: digest.name.into(),
             incarnation: digest.incarnation,
@@ -142,45 +142,49 @@
             shares,
             failing,
             changing: changing?,
-            suspects: digest.suspects.into_iter().map(|told| (told.fingerprint, told.crashes)).collect(),
-            forecasts: digest.forecasts.into_iter().map(forecast_of).collect(),
+            suspects: digest
+                .suspects
+                .into_iter()
+                .map(|suspect| (suspect.fingerprint, suspect.crashes))
+                .collect(),
+            forecasts: digest.forecasts.into_iter().map(decode_forecast).collect(),
             versions: Versions { configuration: digest.configuration, endpoints: digest.endpoints },
         })
     }
 }
 
-/// An entry that says nothing of it takes as much as it says now.
-fn growth(share: &proto::Share) -> Growth {
+/// Decodes the growth of a share. Without a valid one the current memory use counts as constant.
+fn decode_growth(share: &proto::Share) -> Growth {
     share.growth.as_slice().try_into().map_or_else(|_| Growth::flat(share.memory), Growth)
 }
 
-fn forecast_of(told: proto::Forecast) -> (Arc<str>, Forecast) {
-    let trend = |told: Option<proto::Trend>| {
-        told.map(|proto::Trend { base, slope }| Trend { base: sound(base), slope: sound(slope) })
+fn decode_forecast(message: proto::Forecast) -> (Arc<str>, Forecast) {
+    let trend = |trend: Option<proto::Trend>| {
+        trend.map(|proto::Trend { base, slope }| Trend { base: sanitize(base), slope: sanitize(slope) })
     };
-    let answer = |proto::Answers { event_tokens, spread, events, weight }| OutputLength {
-        event_tokens: sound(event_tokens),
-        spread: sound(spread),
-        events: sound(events),
-        weight: sound(weight),
+    let output_length = |proto::Answers { event_tokens, spread, events, weight }| OutputLength {
+        event_tokens: sanitize(event_tokens),
+        spread: sanitize(spread),
+        events: sanitize(events),
+        weight: sanitize(weight),
     };
     let forecast = Forecast {
-        prefill: trend(told.reading),
-        first_event: trend(told.first),
-        local_prefill: trend(told.own_reading),
-        event_interval: trend(told.event),
-        memory: told.memory,
-        output_length: told.answers.map(answer),
+        prefill: trend(message.reading),
+        first_event: trend(message.first),
+        local_prefill: trend(message.own_reading),
+        event_interval: trend(message.event),
+        memory: message.memory,
+        output_length: message.answers.map(output_length),
     };
-    (told.service.into(), forecast)
+    (message.service.into(), forecast)
 }
 
-/// A number that is no time at all counts as none.
-fn sound(value: f64) -> f64 {
+/// Replaces negative and non-finite numbers by zero, since comparisons with NaN are always false.
+fn sanitize(value: f64) -> f64 {
     if value.is_finite() { value.max(0.0) } else { 0.0 }
 }
 
-fn change(told: proto::Changing) -> Result<(Arc<str>, Change), DecodeError> {
-    let stage = told.stage.parse().map_err(|_| DecodeError::Unknown("stage", told.stage.clone()))?;
-    Ok((told.endpoint.into(), Change { stage, left: Duration::from_micros(told.left_us) }))
+fn decode_change(message: proto::Changing) -> Result<(Arc<str>, Change), DecodeError> {
+    let stage = message.stage.parse().map_err(|_| DecodeError::Unknown("stage", message.stage.clone()))?;
+    Ok((message.endpoint.into(), Change { stage, left: Duration::from_micros(message.left_us) }))
 }
