--- a/crates/wire/src/knowledge.rs
+++ b/crates/wire/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What entries hand to one that lacks something of the store.
+//! Conversions of the store snapshot that a gateway replica sends to a peer.
 
 use std::{
     io::{self, Read as _, Write as _},
@@ -15,11 +15,11 @@
 
 use crate::{DecodeError, proto};
 
-/// Largest configuration that is taken from another entry, bytes: as large as the store's answers may be.
-const LARGEST_CONFIGURATION: u64 = 16 << 20;
+/// Limit on a decompressed configuration, equal to the limit on responses of the store.
+const MAX_CONFIGURATION_BYTES: u64 = 16 << 20;
 
-/// Deflates fast: the text of routes that are much alike shrinks to a tenth at any level.
-fn deflate(bytes: &[u8]) -> Vec<u8> {
+/// Compresses with zlib at the fastest level, which suffices for the repetitive text of routes.
+fn compress(bytes: &[u8]) -> Vec<u8> {
     if bytes.is_empty() {
         return Vec::new();
     }
@@ -28,17 +28,17 @@
     written.and_then(|()| encoder.finish()).expect("writing to memory does not fail")
 }
 
-fn inflate(bytes: &[u8]) -> io::Result<Vec<u8>> {
-    let mut inflated = Vec::new();
+fn decompress(bytes: &[u8]) -> io::Result<Vec<u8>> {
+    let mut decompressed = Vec::new();
     if bytes.is_empty() {
-        return Ok(inflated);
+        return Ok(decompressed);
     }
-    let mut decoder = ZlibDecoder::new(bytes).take(LARGEST_CONFIGURATION + 1);
-    decoder.read_to_end(&mut inflated)?;
-    if inflated.len() as u64 > LARGEST_CONFIGURATION {
+    let mut decoder = ZlibDecoder::new(bytes).take(MAX_CONFIGURATION_BYTES + 1);
+    decoder.read_to_end(&mut decompressed)?;
+    if decompressed.len() as u64 > MAX_CONFIGURATION_BYTES {
         return Err(io::ErrorKind::FileTooLarge.into());
     }
-    Ok(inflated)
+    Ok(decompressed)
 }
 
 impl From<&Knowledge> for proto::Knowledge {
@@ -60,7 +60,7 @@
         });
         Self {
             order: knowledge.versions.configuration,
-            configuration: deflate(&knowledge.configuration),
+            configuration: compress(&knowledge.configuration),
             list: knowledge.listing.version,
             endpoints: endpoints.collect(),
             newest: knowledge.versions.endpoints,
@@ -74,7 +74,7 @@
     fn try_from(knowledge: proto::Knowledge) -> Result<Self, DecodeError> {
         let rows: Result<Vec<Row>, DecodeError> =
             knowledge.endpoints.into_iter().map(Row::try_from).collect();
-        let configuration = inflate(&knowledge.configuration);
+        let configuration = decompress(&knowledge.configuration);
         let configuration =
             configuration.map_err(|error| DecodeError::Unknown("configuration", error.to_string()))?;
         Ok(Self {
