--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -259,7 +259,7 @@
             first_token: Duration::from_millis(900),
             first_token_timeout: Duration::from_secs(4),
             rate_wait: Duration::from_millis(300),
-            limits: Limits { max_body: 1 << 20, ..Limits::default() },
+            limits: Limits { max_body_bytes: 1 << 20, ..Limits::default() },
             policy: self.shape.policy,
             operator_token: None,
         };
--- a/crates/bench/src/standin.rs
+++ b/crates/bench/src/standin.rs
@@ -179,7 +179,7 @@
         Fut: Future<Output = Outbound> + Send + 'static,
     {
         let limits =
-            Limits { head_timeout: Duration::from_secs(600), max_body: 64 << 20, ..Limits::default() };
+            Limits { head_timeout: Duration::from_secs(600), max_body_bytes: 64 << 20, ..Limits::default() };
         let server = Server::bind("127.0.0.1:0", limits).await?;
         let address = server.address();
         let handler = Arc::new(handler);
--- a/crates/bench/src/standin/objects.rs
+++ b/crates/bench/src/standin/objects.rs
@@ -50,7 +50,7 @@
             Outbound::text(200, "deleted")
         }
         ("GET", _) => match stored.get(&inbound.path) {
-            Some(bytes) => Outbound::whole(200, "application/octet-stream", bytes.clone()),
+            Some(bytes) => Outbound::bytes(200, "application/octet-stream", bytes.clone()),
             None => Outbound::text(404, "no such object"),
         },
         _ => Outbound::text(400, "GET, PUT or DELETE"),
--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -18,7 +18,7 @@
     let mut text = Vec::new();
     let encoder = TextEncoder::new();
     match encoder.encode(&registry.gather(), &mut text) {
-        Ok(()) => Outbound::whole(200, "text/plain; version=0.0.4", text),
+        Ok(()) => Outbound::bytes(200, "text/plain; version=0.0.4", text),
         Err(error) => Outbound::text(500, error.to_string()),
     }
 }
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -308,7 +308,7 @@
 impl EntrySettings {
     fn check(common: Common, entry: EntryOptions) -> Result<Self, ConfigError> {
         let limits = Limits {
-            max_body: count("max-body", entry.max_body, 1_024, 1 << 30)?,
+            max_body_bytes: count("max-body", entry.max_body, 1_024, 1 << 30)?,
             head_timeout: millis("head-ms", entry.head_ms, 10, 600_000)?,
             body_timeout: millis("body-ms", entry.body_ms, 10, 600_000)?,
             max_connections: count("max-connections", entry.max_connections, 1, 1_000_000)?,
--- a/crates/daemon/src/entry/stages/plain.rs
+++ b/crates/daemon/src/entry/stages/plain.rs
@@ -33,7 +33,7 @@
 impl Reply {
     /// The answer as the caller gets it.
     pub(crate) fn outbound(self) -> Outbound {
-        Outbound::whole(self.status, "application/json", self.body)
+        Outbound::bytes(self.status, "application/json", self.body)
     }
 }
 
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Largest body, in bytes.
-    pub max_body: usize,
+    pub max_body_bytes: usize,
     /// Time to receive the head of a request, including the idle time before it.
     pub head_timeout: Duration,
     /// Time to receive the body of a request.
@@ -50,7 +50,7 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            max_body: 4 << 20,
+            max_body_bytes: 4 << 20,
             head_timeout: Duration::from_secs(10),
             body_timeout: Duration::from_secs(10),
             max_connections: 4_096,
@@ -76,7 +76,7 @@
 /// Error while reading a request body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// The body exceeds [`Limits::max_body`].
+    /// The body exceeds [`Limits::max_body_bytes`].
     TooLarge,
     /// The body was not received within [`Limits::body_timeout`].
     Timeout,
@@ -123,7 +123,7 @@
 
 #[derive(Debug)]
 enum Payload {
-    Whole(&'static str, Vec<u8>),
+    Bytes(&'static str, Vec<u8>),
     Stream(&'static str, async_channel::Receiver<io::Result<Vec<u8>>>),
 }
 
@@ -131,17 +131,17 @@
     /// Creates a JSON response.
     pub fn json(status: u16, value: &impl serde::Serialize) -> Self {
         let body = serde_json::to_vec(value).unwrap_or_default();
-        Self::whole(status, "application/json", body)
+        Self::bytes(status, "application/json", body)
     }
 
     /// Creates a plain text response.
     pub fn text(status: u16, text: impl Into<String>) -> Self {
-        Self::whole(status, "text/plain; charset=utf-8", text.into().into_bytes())
+        Self::bytes(status, "text/plain; charset=utf-8", text.into().into_bytes())
     }
 
     /// Creates a response with a complete body.
-    pub fn whole(status: u16, content_type: &'static str, body: Vec<u8>) -> Self {
-        Self { status, headers: Vec::new(), body: Payload::Whole(content_type, body) }
+    pub fn bytes(status: u16, content_type: &'static str, body: Vec<u8>) -> Self {
+        Self { status, headers: Vec::new(), body: Payload::Bytes(content_type, body) }
     }
 
     /// Creates a response whose body is sent through the returned sender.
@@ -166,7 +166,7 @@
         let status = StatusCode::try_from(self.status).unwrap_or(StatusCode::InternalServerError);
         let mut response = Response::new(status);
         let content_type = match self.body {
-            Payload::Whole(content_type, bytes) => {
+            Payload::Bytes(content_type, bytes) => {
                 response.set_body(Body::from_bytes(bytes));
                 content_type
             }
@@ -360,7 +360,7 @@
     Shutdown,
 }
 
-/// Completes after `delay` unless the head of a request has been received by then. Replaces the
+/// Completes after `delay` unless the head of a request has been received by then. Stricter than the
 /// timeout of async-h1, which is fixed at one minute and sends no response.
 async fn sleep_unless_started(delay: Duration, started: &AtomicBool) {
     task::sleep(delay).await;
@@ -408,15 +408,15 @@
 }
 
 async fn read_body(request: &mut Request, limits: Limits) -> Result<Vec<u8>, BodyError> {
-    if request.len().is_some_and(|length| length > limits.max_body) {
+    if request.len().is_some_and(|length| length > limits.max_body_bytes) {
         return Err(BodyError::TooLarge);
     }
     let mut bytes = Vec::new();
-    let mut reader = request.take_body().take(limits.max_body as u64 + 1);
+    let mut reader = request.take_body().take(limits.max_body_bytes as u64 + 1);
     match future::timeout(limits.body_timeout, reader.read_to_end(&mut bytes)).await {
         Err(_) => Err(BodyError::Timeout),
         Ok(Err(_)) => Err(BodyError::Broken),
-        Ok(Ok(_)) if bytes.len() > limits.max_body => Err(BodyError::TooLarge),
+        Ok(Ok(_)) if bytes.len() > limits.max_body_bytes => Err(BodyError::TooLarge),
         Ok(Ok(_)) => Ok(bytes),
     }
 }
