--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -16,14 +16,14 @@
     /// The named required field is missing.
     Missing(&'static str),
     /// The named field has an invalid value, which is the second part.
-    Unknown(&'static str, String),
+    Invalid(&'static str, String),
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Missing(field) => write!(f, "message without {field}"),
-            Self::Unknown(field, value) => write!(f, "message with unknown {field} {value:?}"),
+            Self::Invalid(field, value) => write!(f, "message with invalid {field} {value:?}"),
         }
     }
 }
@@ -35,11 +35,11 @@
 }
 
 fn parse<T: std::str::FromStr>(field: &'static str, value: &str) -> Result<T, DecodeError> {
-    value.parse().map_err(|_| DecodeError::Unknown(field, value.to_owned()))
+    value.parse().map_err(|_| DecodeError::Invalid(field, value.to_owned()))
 }
 
 fn status(value: u32) -> Result<u16, DecodeError> {
-    u16::try_from(value).map_err(|_| DecodeError::Unknown("status", value.to_string()))
+    u16::try_from(value).map_err(|_| DecodeError::Invalid("status", value.to_string()))
 }
 
 impl From<Attempt> for proto::Attempt {
--- a/crates/wire/src/digest.rs
+++ b/crates/wire/src/digest.rs
@@ -93,7 +93,7 @@
 
     fn try_from(member: proto::Member) -> Result<Self, DecodeError> {
         let address =
-            member.address.parse().map_err(|_| DecodeError::Unknown("address", member.address.clone()))?;
+            member.address.parse().map_err(|_| DecodeError::Invalid("address", member.address.clone()))?;
         Ok(Self { name: member.name.into(), address })
     }
 }
@@ -185,6 +185,6 @@
 }
 
 fn decode_change(message: proto::Changing) -> Result<(Arc<str>, Change), DecodeError> {
-    let stage = message.stage.parse().map_err(|_| DecodeError::Unknown("stage", message.stage.clone()))?;
+    let stage = message.stage.parse().map_err(|_| DecodeError::Invalid("stage", message.stage.clone()))?;
     Ok((message.endpoint.into(), Change { stage, left: Duration::from_micros(message.left_us) }))
 }
--- a/crates/wire/src/snapshot.rs
+++ b/crates/wire/src/snapshot.rs
@@ -76,7 +76,7 @@
             knowledge.endpoints.into_iter().map(Row::try_from).collect();
         let configuration = decompress(&knowledge.configuration);
         let configuration =
-            configuration.map_err(|error| DecodeError::Unknown("configuration", error.to_string()))?;
+            configuration.map_err(|error| DecodeError::Invalid("configuration", error.to_string()))?;
         Ok(Self {
             versions: Versions { configuration: knowledge.order, endpoints: knowledge.newest },
             configuration: configuration.into(),
@@ -94,8 +94,8 @@
         }
         let id: Arc<str> = listed.id.into();
         let address =
-            listed.address.parse().map_err(|_| DecodeError::Unknown("address", listed.address.clone()))?;
-        let stage = listed.stage.parse().map_err(|_| DecodeError::Unknown("stage", listed.stage.clone()))?;
+            listed.address.parse().map_err(|_| DecodeError::Invalid("address", listed.address.clone()))?;
+        let stage = listed.stage.parse().map_err(|_| DecodeError::Invalid("stage", listed.stage.clone()))?;
         let endpoint = Endpoint {
             id: id.clone(),
             born: listed.born,
