--- a/crates/core/src/gateway/pools.rs
+++ b/crates/core/src/gateway/pools.rs
@@ -9,7 +9,7 @@
 
 use super::{
     catalog::Engine,
-    digest::Change,
+    digest::StageChange,
     directory::{Directory, Endpoint, Stage},
     forecast::{Forecast, Size, mean_memory},
     load::Loads,
@@ -155,17 +155,17 @@
     }
 
     /// Returns the changes that this replica has ordered, to report to the others.
-    pub fn changes(&self, now: Time) -> BTreeMap<Arc<str>, Change> {
+    pub fn changes(&self, now: Time) -> BTreeMap<Arc<str>, StageChange> {
         let pending = self.changing.iter().filter(|(_, (until, _))| *until > now);
         let changes = pending.map(|(endpoint, (until, stage))| {
-            (endpoint.clone(), Change { stage: *stage, left: until.since(now) })
+            (endpoint.clone(), StageChange { stage: *stage, remaining: until.since(now) })
         });
         changes.collect()
     }
 
     /// Records a change that another replica has ordered.
-    pub fn merge_change(&mut self, now: Time, endpoint: &Arc<str>, change: Change) {
-        let until = now.plus(change.left.min(CHANGE_TIMEOUT));
+    pub fn merge_change(&mut self, now: Time, endpoint: &Arc<str>, change: StageChange) {
+        let until = now.plus(change.remaining.min(CHANGE_TIMEOUT));
         self.peer_changing.insert(endpoint.clone(), (until, change.stage));
     }
 
@@ -241,6 +241,6 @@
 fn pending_work(now: Time, loads: &Loads, endpoint: &Endpoint) -> u64 {
     loads.get(&endpoint.id).map_or(0, |load| {
         let total = load.total(now);
-        total.reading + total.memory
+        total.prefill_tokens + total.memory
     })
 }
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -1,4 +1,4 @@
-//! The entry's decisions together.
+//! Tests of the gateway state as a whole.
 
 use std::{sync::Arc, time::Duration};
 
@@ -40,9 +40,9 @@
 
 fn serving() -> State<u32> {
     let mut state = state();
-    state.adopt(at(0), 10, catalog(1, 0));
+    state.apply_catalog(at(0), 10, catalog(1, 0));
     let rows = vec![row(1, endpoint("p-1", Stage::Prefill)), row(2, endpoint("d-1", Stage::Decode))];
-    state.list(at(0), Listing { version: 2, whole: true, rows });
+    state.apply_listing(at(0), Listing { version: 2, is_complete: true, rows });
     state
 }
 
@@ -54,84 +54,81 @@
         received: at(0),
         deadline: at(14_000),
         ttft_target: Duration::from_millis(900),
-        gap: Duration::from_millis(300),
-        silence: Duration::from_millis(3_600),
+        target_gap: Duration::from_millis(300),
+        stall_timeout: Duration::from_millis(3_600),
         priority: 1,
         avoid: Vec::new(),
     }
 }
 
-/// The store answers a read with an older state, and the process would go back to a configuration
-/// that the operator has replaced: withdrawn keys would work again.
+/// Guards against a stale read of the store that restores a replaced configuration.
 #[test]
-fn a_configuration_never_goes_back() {
+fn an_older_configuration_is_rejected() {
     let mut state = state();
-    assert!(state.adopt(at(0), 10, catalog(5, 0)));
-    assert!(!state.adopt(at(1), 8, catalog(4, 0)));
-    assert!(!state.adopt(at(1), 10, catalog(5, 0)));
+    assert!(state.apply_catalog(at(0), 10, catalog(5, 0)));
+    assert!(!state.apply_catalog(at(1), 8, catalog(4, 0)));
+    assert!(!state.apply_catalog(at(1), 10, catalog(5, 0)));
     assert_eq!(state.catalog().map(|catalog| catalog.version()), Some(5));
-    assert!(state.adopt(at(2), 11, catalog(6, 0)));
+    assert!(state.apply_catalog(at(2), 11, catalog(6, 0)));
 }
 
 #[test]
-fn a_run_waits_for_memory_and_gets_it_when_another_ends() {
+fn a_run_waits_until_another_releases_its_memory() {
     let mut state = serving();
-    state.line_up(at(0), completion(40_000), 1);
-    state.line_up(at(0), completion(40_000), 2);
-    let mut first = state.pump(at(10));
+    state.enqueue(at(0), completion(40_000), 1);
+    state.enqueue(at(0), completion(40_000), 2);
+    let mut first = state.dispatch(at(10));
     assert_eq!(first.len(), 1);
-    let Some((Entry { tag: 1, .. }, Verdict::Placed(place))) = first.pop() else {
-        panic!("the first is placed")
+    let Some((Entry { tag: 1, .. }, Verdict::Placed(pair))) = first.pop() else {
+        panic!("the first request is not placed")
     };
-    assert!(state.pump(at(20)).is_empty());
-    let reader = place.reader.expect("a prefill endpoint is there");
-    state.ended(at(30), &reader.lease, Outcome::Abandoned);
-    assert!(state.pump(at(35)).is_empty());
-    state.ended(at(36), &place.run.lease, Outcome::Abandoned);
-    assert!(matches!(&state.pump(at(40))[..], [(Entry { tag: 2, .. }, Verdict::Placed(_))]));
+    assert!(state.dispatch(at(20)).is_empty());
+    let prefill = pair.prefill.expect("a prefill endpoint");
+    state.record_end(at(30), &prefill.lease, Outcome::Abandoned);
+    assert!(state.dispatch(at(35)).is_empty());
+    state.record_end(at(36), &pair.decode.lease, Outcome::Abandoned);
+    assert!(matches!(&state.dispatch(at(40))[..], [(Entry { tag: 2, .. }, Verdict::Placed(_))]));
 }
 
-/// A burst keeps the only reader busy for half a second, and callers wait for it and come out late,
-/// while decode endpoints have places free that could read a prompt between the tokens of their runs.
+/// Guards against requests that wait for busy prefill endpoints while decode endpoints are free.
 #[test]
-fn a_decode_endpoint_reads_one_prompt_itself_while_the_readers_are_busy() {
+fn a_decode_endpoint_prefills_one_prompt_while_prefill_endpoints_are_busy() {
     let mut state = serving();
     for tag in 0..8 {
-        state.line_up(at(0), completion(4_000), tag);
+        state.enqueue(at(0), completion(4_000), tag);
     }
-    let placed = state.pump(at(10));
+    let placed = state.dispatch(at(10));
     let pairs = placed.iter().filter_map(|(_, verdict)| match verdict {
         Verdict::Placed(pair) => Some(pair),
         Verdict::Expired => None,
     });
     let pairs: Vec<_> = pairs.collect();
-    let own: Vec<_> = pairs.iter().filter(|pair| pair.reader.is_none()).collect();
-    // The reader takes six, the decode endpoint reads one, the last waits for either.
-    assert_eq!((pairs.len(), own.len()), (7, 1));
-    let mut lease = own[0].run.lease.clone();
-    state.answered(at(200), &lease);
+    let local: Vec<_> = pairs.iter().filter(|pair| pair.prefill.is_none()).collect();
+    // The prefill endpoint takes six prompts, the decode endpoint one; the last request waits.
+    assert_eq!((pairs.len(), local.len()), (7, 1));
+    let mut lease = local[0].decode.lease.clone();
+    state.record_answer(at(200), &lease);
     lease.clear_prefill();
-    assert_eq!(state.pump(at(350)).len(), 1);
-    state.ended(at(3_000), &lease, Outcome::Abandoned);
-    assert_eq!(state.loads().get("d-1").map(|load| load.local.reading), Some(4_000));
+    assert_eq!(state.dispatch(at(350)).len(), 1);
+    state.record_end(at(3_000), &lease, Outcome::Abandoned);
+    assert_eq!(state.loads().get("d-1").map(|load| load.local.prefill_tokens), Some(4_000));
 }
 
-/// A long prompt that a decode endpoint read itself would hold up its ten other runs for longer than
-/// their callers' longest pause.
+/// Guards against a long prefill on a decode endpoint that stalls its other runs.
 #[test]
-fn a_long_prompt_waits_for_a_reader() {
+fn a_long_prompt_waits_for_a_prefill_endpoint() {
     let mut state = serving();
-    show(&mut state, 0, SMALL);
+    observe_requests(&mut state, 0, SMALL);
     for tag in 0..4 {
-        state.line_up(at(0), completion(11_000), tag);
+        state.enqueue(at(0), completion(11_000), tag);
     }
-    assert_eq!(state.pump(at(10)).len(), 3);
+    assert_eq!(state.dispatch(at(10)).len(), 3);
 }
 
 #[test]
-fn a_request_over_its_rate_is_refused_with_the_time_to_come_back() {
+fn a_request_over_the_rate_is_refused_with_a_retry_delay() {
     let mut state = state();
-    state.adopt(at(0), 10, catalog(1, 1_000));
+    state.apply_catalog(at(0), 10, catalog(1, 1_000));
     let faculty = Arc::new(customer("faculty", 1_000, 1_000));
     let admission =
         Admission { customer: Some(faculty), tokens: 1_000, service: "drafting".into(), fingerprint: 1 };
@@ -139,44 +136,43 @@
     let refusal = state.admit(at(5_500), &admission).expect_err("refused");
     assert_eq!((refusal.code, refusal.not_run), (Code::OverRate, true));
     assert_eq!(refusal.retry_after, Some(Duration::from_millis(500)));
-    state.give_back(&admission);
+    state.refund(&admission);
     assert!(state.admit(at(5_500), &admission).is_ok());
 }
 
 #[test]
-fn an_entry_tells_what_it_has_taken_and_hears_what_others_have() {
+fn reservations_are_shared_through_digests() {
     let mut state = serving();
-    state.line_up(at(0), completion(40_000), 1);
-    assert_eq!(state.pump(at(10)).len(), 1);
-    let (digest, _) = state.digest(at(20));
+    state.enqueue(at(0), completion(40_000), 1);
+    assert_eq!(state.dispatch(at(10)).len(), 1);
+    let (digest, _) = state.next_digest(at(20));
     assert_eq!(digest.shares.get("d-1").map(|share| share.memory), Some(40_000));
 
     let mut other = serving();
     let from = "127.0.0.1:8".parse().expect("an address");
-    other.heard(at(30), &Digest { name: "first".into(), ..digest }, from);
-    other.line_up(at(0), completion(40_000), 2);
-    assert!(other.pump(at(40)).is_empty());
+    other.apply_digest(at(30), &Digest { name: "first".into(), ..digest }, from);
+    other.enqueue(at(0), completion(40_000), 2);
+    assert!(other.dispatch(at(40)).is_empty());
 }
 
-/// Crash suspects come from what happened to the endpoint, however the entry learns of it.
+/// A removal counts as a crash when a request was interrupted there shortly before.
 #[test]
-fn an_endpoint_that_goes_right_after_breaking_off_has_crashed() {
+fn removal_after_an_interrupted_request_counts_as_a_crash() {
     let mut state = serving();
     for (now, id) in [(0, "d-1"), (1_000, "p-1")] {
-        state.broke(at(now), &id.into(), 77);
-        let listing = Listing { version: 10 + now, whole: false, rows: vec![gone(10 + now, id)] };
-        state.list(at(now + 500), listing);
+        state.record_interrupted(at(now), &id.into(), 77);
+        let listing = Listing { version: 10 + now, is_complete: false, rows: vec![gone(10 + now, id)] };
+        state.apply_listing(at(now + 500), listing);
     }
     let admission = Admission { customer: None, tokens: 1, service: "drafting".into(), fingerprint: 77 };
     let refusal = state.admit(at(2_000), &admission).expect_err("refused");
     assert_eq!(refusal.code, Code::Quarantined);
 }
 
-/// A further customer's engines make a token in an eighth of the time, and their answers are as long as their
-/// prompts. Forecasts of an engine that is known already lay past every deadline: idle endpoints turned four
-/// callers in five away.
+/// Guards against forecasts that make idle endpoints refuse requests, for engines of different
+/// speed.
 #[test]
-fn idle_endpoints_refuse_nobody_whatever_the_engine() {
+fn idle_endpoints_accept_requests_for_any_engine_speed() {
     let speeds = [
         SMALL,
         Speed { prompt_us: 2, first_ms: 15, token_us: 500, event_tokens: 1 },
@@ -190,72 +186,71 @@
         for now in [0, 1_000] {
             let completion =
                 Completion { size, received: at(now), deadline: at(now + 14_000), ..completion(0) };
-            state.line_up(at(now), completion, 1);
-            let placed = state.pump(at(now));
+            state.enqueue(at(now), completion, 1);
+            let placed = state.dispatch(at(now));
             let [(_, Verdict::Placed(pair))] = &placed[..] else { panic!("refused: {speed:?}") };
-            state.ended(at(now), &pair.run.lease, Outcome::Abandoned);
-            let reader = pair.reader.as_ref().expect("a reader");
-            state.ended(at(now), &reader.lease, Outcome::Abandoned);
-            show(&mut state, now, speed);
+            state.record_end(at(now), &pair.decode.lease, Outcome::Abandoned);
+            let prefill = pair.prefill.as_ref().expect("a prefill endpoint");
+            state.record_end(at(now), &prefill.lease, Outcome::Abandoned);
+            observe_requests(&mut state, now, speed);
         }
     }
 }
 
-/// Has an entry see some requests at its endpoints.
-fn show(state: &mut State<u32>, now: u64, speed: Speed) {
+/// Records some requests at the endpoints of a replica.
+fn observe_requests(state: &mut State<u32>, now: u64, speed: Speed) {
     let (reader, run) = (endpoint("p-1", Stage::Prefill), endpoint("d-1", Stage::Decode));
     let gap = Duration::from_micros(speed.token_us * speed.event_tokens);
     for _ in 0..20 {
         let took = Duration::from_micros(5_000 * speed.prompt_us);
-        state.observed(at(now), &reader, Observation::Prefill { tokens: 5_000, took });
+        state.record_observation(at(now), &reader, Observation::Prefill { tokens: 5_000, took });
         let took = Duration::from_millis(speed.first_ms);
-        state.observed(at(now), &run, Observation::FirstEvent { prompt: 5_000, took });
-        state.observed(at(now), &run, Observation::Events { events: 10, span: gap * 10 });
-        state.observed(
+        state.record_observation(at(now), &run, Observation::FirstEvent { prompt: 5_000, took });
+        state.record_observation(at(now), &run, Observation::Events { events: 10, span: gap * 10 });
+        state.record_observation(
             at(now),
             &run,
             Observation::Completed { expected: 100 * speed.event_tokens, events: 100 },
         );
     }
-    state.settle(at(now));
+    state.tick(at(now));
 }
 
-/// An answer is expected to take a minute at an engine that was seen, and its caller waits for fourteen
-/// seconds. Placed, it would keep memory and be cut; told at once, the caller can ask for less.
+/// Guards against placing a request that cannot finish in time and only occupies memory.
 #[test]
-fn what_cannot_end_in_time_is_refused_at_once() {
+fn a_request_that_cannot_end_in_time_is_refused_at_once() {
     let mut state = serving();
-    show(&mut state, 0, SMALL);
+    observe_requests(&mut state, 0, SMALL);
     let size = Size { prompt: 5_000, expected_output: 12_000, max_output: 12_000 };
-    state.line_up(at(10), Completion { size, ..completion(0) }, 1);
-    assert!(matches!(&state.pump(at(10))[..], [(_, Verdict::Expired)]));
-    assert!(state.memory_free_after("drafting") > Duration::from_millis(1_000));
+    state.enqueue(at(10), Completion { size, ..completion(0) }, 1);
+    assert!(matches!(&state.dispatch(at(10))[..], [(_, Verdict::Expired)]));
+    assert!(state.memory_retry_after("drafting") > Duration::from_millis(1_000));
 }
 
-/// An entry that has just started has seen no request; what the others have seen comes with their digests.
+/// Guards against a new replica without forecasts until it has seen requests of its own.
 #[test]
-fn an_entry_that_starts_is_told_how_long_things_take() {
+fn a_new_replica_receives_forecasts_from_its_peers() {
     let mut first = serving();
-    show(&mut first, 0, SMALL);
-    let told = (0..10).map(|turn| first.digest(at(turn * 100)).0).find(|digest| !digest.forecasts.is_empty());
-    let told = Digest { name: "first".into(), ..told.expect("one digest in ten tells") };
+    observe_requests(&mut first, 0, SMALL);
+    let digest =
+        (0..10).map(|tick| first.next_digest(at(tick * 100)).0).find(|digest| !digest.forecasts.is_empty());
+    let digest = Digest { name: "first".into(), ..digest.expect("every tenth digest has forecasts") };
     let mut other = serving();
-    other.heard(at(1_000), &told, "127.0.0.1:8".parse().expect("an address"));
+    other.apply_digest(at(1_000), &digest, "127.0.0.1:8".parse().expect("an address"));
     assert_eq!(other.forecast("drafting"), first.forecast("drafting"));
 }
 
-/// A run ends a moment after its endpoint was dropped from the list. What it shows then would bring the
-/// endpoint's record back, and nobody would ever drop it again: with endpoints that come and go all day, a
-/// process grows until it is killed.
+/// Guards against a memory leak: a late observation must not recreate the record of a removed
+/// endpoint.
 #[test]
-fn what_runs_show_of_an_endpoint_that_is_gone_is_not_kept() {
+fn observations_of_a_removed_endpoint_are_ignored() {
     let mut state = serving();
-    show(&mut state, 0, SMALL);
+    observe_requests(&mut state, 0, SMALL);
     let before = state.forecast("drafting");
-    let listing = Listing { version: 10, whole: false, rows: vec![gone(10, "d-1")] };
-    state.list(at(1_000), listing);
-    show(&mut state, 1_000, Speed { token_us: 40_000, ..SMALL });
-    state.settle(at(1_100));
+    let listing = Listing { version: 10, is_complete: false, rows: vec![gone(10, "d-1")] };
+    state.apply_listing(at(1_000), listing);
+    observe_requests(&mut state, 1_000, Speed { token_us: 40_000, ..SMALL });
+    state.tick(at(1_100));
     let after = state.forecast("drafting");
     assert_eq!(after.event_interval, None, "{before:?}");
 }
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -9,7 +9,7 @@
         directory::{Endpoint, Row, Stage},
         forecast::{Forecast, OutputLength, Trend},
         growth::Growth,
-        knowledge::Knowledge,
+        snapshot::Snapshot,
         staleness::Versions,
         state::Listing,
     },
@@ -131,30 +131,30 @@
 fn listed(id: &str) -> Row {
     let endpoint = Endpoint {
         id: name(id),
-        born: 1_700_000_000_123,
+        started_ms: 1_700_000_000_123,
         service: name("drafting"),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: name("zone-a"),
         stage: Stage::Prefill,
         slots: 48,
-        leaving: true,
+        is_draining: true,
     };
     Row { id: name(id), version: 7, sequence: 9, endpoint: Some(Arc::new(endpoint)) }
 }
 
 #[test]
 fn store_snapshot_round_trips() {
-    let listing = Listing { version: 12, whole: true, rows: vec![listed("i-1"), listed("i-2")] };
-    let knowledge = Knowledge {
+    let listing = Listing { version: 12, is_complete: true, rows: vec![listed("i-1"), listed("i-2")] };
+    let snapshot = Snapshot {
         versions: Versions { configuration: 11, endpoints: 9 },
         configuration: b"{\xff}".to_vec().into(),
         listing,
     };
-    let decoded = Knowledge::try_from(proto::Knowledge::from(&knowledge)).expect("a valid snapshot");
-    assert_eq!(decoded, knowledge);
-    let mut invalid = proto::Knowledge::from(&knowledge);
+    let decoded = Snapshot::try_from(proto::Knowledge::from(&snapshot)).expect("a valid snapshot");
+    assert_eq!(decoded, snapshot);
+    let mut invalid = proto::Knowledge::from(&snapshot);
     invalid.endpoints[1].stage = "resting".into();
-    assert_eq!(Knowledge::try_from(invalid), Err(DecodeError::Invalid("stage", "resting".into())));
+    assert_eq!(Snapshot::try_from(invalid), Err(DecodeError::Invalid("stage", "resting".into())));
 }
 
 fn digest() -> Digest {
@@ -176,7 +176,7 @@
         spent: [(name("faculty"), 15_000)].into(),
         left: [(name("faculty"), -300)].into(),
         shares: [(name("d-1"), Share { running: 2, memory: 16_000, growth, ..Share::default() })].into(),
-        failing: [(name("d-2"), 400)].into(),
+        failure_permille: [(name("d-2"), 400)].into(),
         suspects: [(7, 2)].into(),
         versions: Versions { configuration: 11, endpoints: 9 },
         forecasts: [(name("drafting"), forecast)].into(),
