--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -162,7 +162,7 @@
 
 fn failure_cause(error: &client::Error) -> FailureCause {
     match error {
-        client::Error::Connect(_) | client::Error::Broken(_) => FailureCause::Crashed,
+        client::Error::Connect(_) | client::Error::Connection(_) => FailureCause::Crashed,
         client::Error::Timeout => FailureCause::Stalled,
         client::Error::Path(_) | client::Error::Unexpected(_) => FailureCause::Failed,
     }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -97,10 +97,10 @@
     /// The connection could not be opened; nothing was sent.
     Connect(String),
     /// The connection failed; the request may have been processed.
-    Broken(String),
+    Connection(String),
     /// There was no response in time; the request may have been processed.
     Timeout,
-    /// The response could not be decoded.
+    /// The response is not the expected one.
     Unexpected(String),
 }
 
@@ -116,7 +116,7 @@
         match self {
             Self::Path(path) => write!(f, "invalid path {path:?}"),
             Self::Connect(reason) => write!(f, "cannot connect: {reason}"),
-            Self::Broken(reason) => write!(f, "connection broke: {reason}"),
+            Self::Connection(reason) => write!(f, "connection broke: {reason}"),
             Self::Timeout => f.write_str("no answer in time"),
             Self::Unexpected(reason) => write!(f, "unexpected response: {reason}"),
         }
@@ -148,7 +148,7 @@
     pub async fn line(&mut self) -> Result<Option<String>, Error> {
         let mut line = String::new();
         let read =
-            self.response.read_line(&mut line).await.map_err(|error| Error::Broken(error.to_string()))?;
+            self.response.read_line(&mut line).await.map_err(|error| Error::Connection(error.to_string()))?;
         Ok((read > 0).then(|| line.trim_end().to_owned()))
     }
 
@@ -159,7 +159,7 @@
         let mut body = self.response.take_body().take(MAX_BODY_BYTES);
         loop {
             let read = timeout(STALL_TIMEOUT, body.read(&mut buffer)).await.map_err(|_| Error::Timeout)?;
-            match read.map_err(|error| Error::Broken(error.to_string()))? {
+            match read.map_err(|error| Error::Connection(error.to_string()))? {
                 0 => break,
                 read => bytes.extend_from_slice(&buffer[..read]),
             }
@@ -213,7 +213,7 @@
         };
         let http_request = request.to_http(address)?;
         let response = async_h1::connect(stream.clone(), http_request).await;
-        let response = response.map_err(|error| Error::Broken(error.to_string()))?;
+        let response = response.map_err(|error| Error::Connection(error.to_string()))?;
         Ok(Response { response, pool: self, address, stream })
     }
 
