--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,4 +1,8 @@
-//! The entry role: faces callers and operators, and homes customers.
+//! The entry process.
+//!
+//! An entry serves callers over HTTP, routes their requests to agents, and answers operators on a
+//! separate admin address. Together the entries enforce the rate limits of customers: each customer
+//! has one entry as its home.
 
 mod caller;
 mod context;
@@ -33,7 +37,7 @@
     settings::Current,
 };
 
-/// How often a shutdown looks whether everything has ended.
+/// Interval at which a shutdown checks for remaining work.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
 /// A running entry.
@@ -43,37 +47,37 @@
     context: Arc<Context>,
     drain: Duration,
     tasks: Vec<JoinHandle<()>>,
-    callers: Closer,
-    accept: JoinHandle<()>,
+    caller_closer: Closer,
+    accept_task: JoinHandle<()>,
 }
 
 impl Entry {
-    /// Starts an entry.
+    /// Binds all addresses and starts the control thread and the tasks of an entry.
     pub async fn start(settings: EntrySettings, clock: Clock) -> Result<Self, StartError> {
         let common = settings.common.clone();
-        let callers = Server::bind(&common.listen.to_string(), settings.limits).await;
-        let callers = callers.map_err(|error| StartError::Listen {
+        let caller_server = Server::bind(&common.listen.to_string(), settings.limits).await;
+        let caller_server = caller_server.map_err(|error| StartError::Listen {
             setting: "listen",
             address: common.listen.to_string(),
             error,
         })?;
         let admin_server = bind("admin", common.admin).await?;
-        let (address, admin) = (callers.address(), admin_server.address());
-        let closer = callers.closer();
+        let (address, admin) = (caller_server.address(), admin_server.address());
+        let closer = caller_server.closer();
         let (incoming, peer) = crate::agent::listen("peer", settings.peer)?;
 
         let metrics = Metrics::new();
         let current = Arc::new(Current::new(clock.clone()));
         let peers = Peers::default();
         let identity = control::Identity::new(common.name.clone(), peer, common.zone.clone());
-        let (look, looks) = async_channel::bounded(1);
+        let (home_refresh, home_refreshes) = async_channel::bounded(1);
         let setup = Setup {
             identity,
             policy: settings.policy,
             clock: clock.clone(),
             current: current.clone(),
             peers: peers.clone(),
-            look,
+            home_refresh,
         };
         let control = owner::start(setup).map_err(StartError::Thread)?;
         let links = Links::new(common.name.clone(), control.clone(), current.clone());
@@ -92,58 +96,60 @@
             table: Arc::new(HttpTable::new(common.table)),
             metrics,
             running: Default::default(),
-            leaving: Default::default(),
+            is_shutting_down: Default::default(),
             entries: Default::default(),
         });
 
         let mut tasks = vec![
-            task::spawn(follow(context.clone(), common.poll)),
-            task::spawn(homes::keep(context.clone(), settings.hosts, looks)),
-            task::spawn(exchange::heartbeat(context.clone())),
+            task::spawn(follow_settings(context.clone(), common.poll)),
+            task::spawn(homes::maintain(context.clone(), settings.hosts, home_refreshes)),
+            task::spawn(exchange::send_heartbeats(context.clone())),
             exchange::serve(incoming, context.clone()),
         ];
-        let operators = context.clone();
+        let admin_context = context.clone();
         tasks.push(task::spawn(
-            admin_server.serve(move |inbound| operators::answer(operators.clone(), inbound)),
+            admin_server.serve(move |inbound| operators::answer(admin_context.clone(), inbound)),
         ));
-        let served = context.clone();
-        let accept = task::spawn(callers.serve(move |inbound| caller::answer(served.clone(), inbound)));
+        let request_context = context.clone();
+        let accept_task =
+            task::spawn(caller_server.serve(move |inbound| caller::answer(request_context.clone(), inbound)));
         spdlog::info!("entry started", kv: { name = &*context.name, listen = address.to_string().as_str() });
-        Ok(Self { address, admin, context, drain: common.drain, tasks, callers: closer, accept })
+        Ok(Self { address, admin, context, drain: common.drain, tasks, caller_closer: closer, accept_task })
     }
 
-    /// Where callers reach it.
+    /// Returns the address that serves callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where operators reach it.
+    /// Returns the address that serves operators.
     pub fn admin(&self) -> SocketAddr {
         self.admin
     }
 
-    /// Takes no new requests, lets running ones end, hands its customers over, then stops.
+    /// Shuts down gracefully: refuses new requests, lets running ones end, then hands over the shards
+    /// that this entry owns. Gives up on what remains after the drain time.
     pub async fn shutdown(self) {
         let context = &self.context;
-        context.leaving.store(true, Ordering::Relaxed);
+        context.is_shutting_down.store(true, Ordering::Relaxed);
         let began = context.clock.now();
-        let left = || context.clock.now().since(began) < self.drain;
-        // Still accepting: whoever comes now is told to go elsewhere, instead of a broken connection.
-        while left() && context.running.load(Ordering::Relaxed) > 0 {
+        let has_time_left = || context.clock.now().since(began) < self.drain;
+        // Connections are still accepted, so that new requests get a refusal instead of an I/O error.
+        while has_time_left() && context.running.load(Ordering::Relaxed) > 0 {
             context.clock.sleep(DRAIN_POLL).await;
         }
-        self.callers.close().await;
-        self.accept.cancel().await;
+        self.caller_closer.close().await;
+        self.accept_task.cancel().await;
         context.control.leave();
-        while left() && !context.control.has_left().await {
+        while has_time_left() && !context.control.has_left().await {
             context.clock.sleep(DRAIN_POLL).await;
         }
         stop(&self.context, self.tasks).await;
     }
 
-    /// Stops at once, as a crash would.
+    /// Stops immediately without a drain, like a crash.
     pub async fn kill(self) {
-        self.accept.cancel().await;
+        self.accept_task.cancel().await;
         stop(&self.context, self.tasks).await;
     }
 }
@@ -156,11 +162,11 @@
     }
 }
 
-async fn follow(context: Arc<Context>, poll: Duration) {
+async fn follow_settings(context: Arc<Context>, poll: Duration) {
     let current = context.current.clone();
     let adopted = |snapshot: Arc<Snapshot>| {
-        context.links.want(&snapshot);
-        context.control.settings(snapshot);
+        context.links.set_agents(&snapshot);
+        context.control.update_settings(snapshot);
     };
     current.follow(&*context.table, poll, None, adopted).await;
 }
--- a/crates/daemon/src/entry/peers.rs
+++ b/crates/daemon/src/entry/peers.rs
@@ -1,4 +1,4 @@
-//! Asks other entries: for loans, heartbeats, crash counts and renewals.
+//! Client of the other entries' peer service.
 
 use std::{
     collections::BTreeMap,
@@ -13,9 +13,10 @@
 
 use crate::entry::control::Control;
 
-/// Longest wait for a peer's answer. Shorter than a borrower's own patience.
+/// Timeout of a request. Shorter than the time after which a borrower repeats a loan request.
 const TIMEOUT: Duration = Duration::from_millis(250);
-/// Clients of all peers. Clones share them.
+
+/// Clients of all peers, by address. Clones share them.
 #[derive(Clone, Default)]
 pub(crate) struct Peers(Arc<Mutex<BTreeMap<Arc<str>, PeerClient<Channel>>>>);
 
@@ -32,16 +33,16 @@
         Some(client)
     }
 
-    /// Asks the peer at `address`; `None` if it does not answer in time. A client that timed out
-    /// is dropped, since its connection may have gone silent for good.
-    pub(crate) async fn ask(
+    /// Sends a request to the peer at `address`. Returns `None` if it fails or times out; the client
+    /// is then dropped, because its connection may be dead.
+    pub(crate) async fn exchange(
         &self,
         address: &Arc<str>,
         from: &Arc<str>,
-        ask: PeerRequest,
+        request: PeerRequest,
     ) -> Option<PeerReply> {
         let mut client = self.client(address)?;
-        let request = proto::PeerRequest { entry: from.to_string(), body: Some(ask.into()) };
+        let request = proto::PeerRequest { entry: from.to_string(), body: Some(request.into()) };
         let reply = async_std::future::timeout(TIMEOUT, client.exchange(request)).await;
         let Ok(Ok(reply)) = reply else {
             self.0.lock().unwrap_or_else(PoisonError::into_inner).remove(address);
@@ -50,24 +51,24 @@
         PeerReply::try_from(reply.into_inner()).ok()
     }
 
-    /// Asks a home for tokens and hands the reply to the control thread.
+    /// Sends a loan request to a home in the background and passes the reply to the control thread.
     pub(crate) fn borrow(
         &self,
         control: Control,
         address: Arc<str>,
         from: Arc<str>,
         serial: u64,
-        ask: PeerRequest,
+        request: PeerRequest,
     ) {
         let peers = self.clone();
         task::spawn(async move {
-            let PeerRequest::Borrow { customer, .. } = &ask else { return };
+            let PeerRequest::Borrow { customer, .. } = &request else { return };
             let customer = customer.clone();
-            let grant = match peers.ask(&address, &from, ask).await {
+            let grant = match peers.exchange(&address, &from, request).await {
                 Some(PeerReply::Lent(grant)) => Some(grant),
                 _ => None,
             };
-            control.lent(&customer, serial, grant);
+            control.receive_loan(&customer, serial, grant);
         });
     }
 }
--- a/crates/daemon/src/entry/stages/answer.rs
+++ b/crates/daemon/src/entry/stages/answer.rs
@@ -1,4 +1,4 @@
-//! The answer as the caller gets it: every token once, in order, to its proper end.
+//! Output of an answer to the caller: each token once and in order, with an explicit end.
 
 use std::{io, sync::Arc};
 
@@ -9,37 +9,44 @@
 
 use crate::entry::{context::Context, request::refusal_body};
 
-/// Tokens arrived with a gap before them, so the answer cannot be whole.
+/// Error while passing tokens to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TokenError {
-    /// A token is missing.
+    /// One or more tokens are missing.
     Gap,
-    /// The caller no longer reads.
-    CallerGone,
+    /// The caller has disconnected.
+    CallerLeft,
 }
 
-/// Collects or streams an answer.
+/// An answer in progress, either collected or streamed.
 pub(super) struct Output<'a> {
     context: &'a Context,
     request: Request,
-    /// Index of the next token; whatever lies below it has been taken already.
-    next: u32,
+    /// Index of the next token; all tokens below it have been accepted.
+    next_index: u32,
     arrived: Time,
-    last: Time,
-    form: Form,
+    last_token_at: Time,
+    delivery: Delivery,
 }
 
-enum Form {
-    /// All tokens at once.
-    Whole(String),
-    /// Tokens as they come. The head goes out with the first, so that a refusal before it still
-    /// has a status of its own.
+enum Delivery {
+    /// All tokens are sent in one response at the end.
+    Buffered(String),
+    /// Tokens are sent as they arrive. The response head is sent with the first token, so that a
+    /// request refused before that gets its own HTTP status.
     Stream { head: Sender<Outbound>, body: Option<tarragonhill_http::Sender> },
 }
 
 impl<'a> Output<'a> {
-    pub(super) fn whole(context: &'a Context, request: Request, arrived: Time) -> Self {
-        Self { context, request, next: 0, arrived, last: arrived, form: Form::Whole(String::new()) }
+    pub(super) fn buffered(context: &'a Context, request: Request, arrived: Time) -> Self {
+        Self {
+            context,
+            request,
+            next_index: 0,
+            arrived,
+            last_token_at: arrived,
+            delivery: Delivery::Buffered(String::new()),
+        }
     }
 
     pub(super) fn stream(
@@ -48,43 +55,54 @@
         arrived: Time,
         head: Sender<Outbound>,
     ) -> Self {
-        Self { context, request, next: 0, arrived, last: arrived, form: Form::Stream { head, body: None } }
+        Self {
+            context,
+            request,
+            next_index: 0,
+            arrived,
+            last_token_at: arrived,
+            delivery: Delivery::Stream { head, body: None },
+        }
     }
 
-    /// Index of the next token wanted.
-    pub(super) fn next(&self) -> u32 {
-        self.next
+    /// Returns the index of the next token; equals the number of tokens accepted.
+    pub(super) fn next_index(&self) -> u32 {
+        self.next_index
     }
 
-    /// Takes tokens. Those below the next index are repeats of a resumed decode and dropped.
-    pub(super) async fn take(&mut self, first_index: u32, texts: &[Arc<str>]) -> Result<(), TokenError> {
+    /// Passes on tokens. Drops those below the next index, which a resumed decode may repeat.
+    pub(super) async fn accept_tokens(
+        &mut self,
+        first_index: u32,
+        texts: &[Arc<str>],
+    ) -> Result<(), TokenError> {
         for (index, text) in (first_index..).zip(texts) {
-            if index < self.next {
+            if index < self.next_index {
                 continue;
             }
-            if index > self.next {
+            if index > self.next_index {
                 return Err(TokenError::Gap);
             }
-            self.observe();
-            self.push(index, text).await?;
-            self.next += 1;
+            self.record_token();
+            self.write_token(index, text).await?;
+            self.next_index += 1;
         }
         Ok(())
     }
 
-    fn observe(&mut self) {
+    fn record_token(&mut self) {
         let now = self.context.clock.now();
         let metrics = &self.context.metrics;
-        match self.next {
+        match self.next_index {
             0 => metrics.observe_first_token(now.since(self.arrived)),
-            _ => metrics.observe_gap(now.since(self.last)),
+            _ => metrics.observe_token_gap(now.since(self.last_token_at)),
         }
         metrics.tokens.inc();
-        self.last = now;
+        self.last_token_at = now;
     }
 
-    async fn push(&mut self, index: u32, text: &str) -> Result<(), TokenError> {
-        if let Form::Whole(collected) = &mut self.form {
+    async fn write_token(&mut self, index: u32, text: &str) -> Result<(), TokenError> {
+        if let Delivery::Buffered(collected) = &mut self.delivery {
             collected.push_str(text);
             return Ok(());
         }
@@ -92,23 +110,23 @@
         self.send(format!("data: {line}\n\n")).await
     }
 
-    async fn send(&mut self, part: String) -> Result<(), TokenError> {
-        let Form::Stream { head, body } = &mut self.form else { return Ok(()) };
+    async fn send(&mut self, chunk: String) -> Result<(), TokenError> {
+        let Delivery::Stream { head, body } = &mut self.delivery else { return Ok(()) };
         let sender = match body {
             Some(sender) => sender,
             None => {
                 let (outbound, sender) = Outbound::stream(200, "text/event-stream");
-                head.send(outbound).await.map_err(|_| TokenError::CallerGone)?;
+                head.send(outbound).await.map_err(|_| TokenError::CallerLeft)?;
                 body.insert(sender)
             }
         };
-        sender.send(Ok(part.into_bytes())).await.map_err(|_| TokenError::CallerGone)
+        sender.send(Ok(chunk.into_bytes())).await.map_err(|_| TokenError::CallerLeft)
     }
 
-    /// Ends a whole answer; returns the response unless it was streamed.
+    /// Ends a complete answer. Returns the response, or `None` if it was streamed.
     pub(super) async fn finish(mut self) -> Result<Option<Outbound>, TokenError> {
-        let tokens = self.next;
-        if let Form::Whole(text) = &mut self.form {
+        let tokens = self.next_index;
+        if let Delivery::Buffered(text) = &mut self.delivery {
             let text = std::mem::take(text);
             let id = self.request.to_string();
             return Ok(Some(Outbound::json(
@@ -121,14 +139,15 @@
         Ok(None)
     }
 
-    /// Breaks the answer off so that nobody takes it for whole: an error event, then a connection
-    /// cut before the body's end. Gives the refusal back if nothing has been sent yet.
-    pub(super) async fn break_off(self, refusal: Refusal) -> Option<Refusal> {
-        let Form::Stream { body: Some(body), .. } = self.form else { return Some(refusal) };
+    /// Aborts the answer. If part of it was streamed, sends an error event and cuts the connection
+    /// before the end of the body, so that it cannot be mistaken for complete. Otherwise returns the
+    /// refusal.
+    pub(super) async fn abort(self, refusal: Refusal) -> Option<Refusal> {
+        let Delivery::Stream { body: Some(body), .. } = self.delivery else { return Some(refusal) };
         let error = refusal_body(self.request, &refusal);
         let _ = body.send(Ok(format!("event: error\ndata: {error}\n\n").into_bytes())).await;
-        let _ = body.send(Err(io::Error::other("answer broke off"))).await;
-        self.context.metrics.refuse(refusal.code);
+        let _ = body.send(Err(io::Error::other("answer aborted"))).await;
+        self.context.metrics.count_refusal(refusal.code);
         None
     }
 }
--- a/crates/daemon/src/entry/stages/plan.rs
+++ b/crates/daemon/src/entry/stages/plan.rs
@@ -1,4 +1,4 @@
-//! Finds decode memory for a request before anything costly starts.
+//! Plan stage: chooses a decode endpoint and reserves its memory before the prefill starts.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -10,36 +10,37 @@
 };
 
 use super::{
-    Ticket,
+    RequestInfo,
     attempt::{Dispatch, Failure},
 };
 use crate::entry::{
     context::Context,
-    control::{Placed, Placement},
+    control::{PlacementRequest, Target},
     request::Completion,
 };
 
-/// An agent answers a hold by its deadline; this much later it is taken for stalled.
-const ANSWER_GRACE: Duration = Duration::from_millis(500);
-/// Patience of suspects of a crash. They run one at a time, and most of them are innocent and have
-/// been paid for.
+/// Extra time that an agent has to answer a hold after the deadline before it counts as stalled.
+const HOLD_REPLY_GRACE: Duration = Duration::from_millis(500);
+/// Minimum timeout of suspect requests. They need more time because each endpoint runs only one of
+/// them at a time.
 const SUSPECT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Slack of the baselines, which know no early refusal.
-const NO_SLACK: Duration = Duration::from_secs(30);
+/// Slack and timeout under policies without holds, which do not refuse work early.
+const BASELINE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Where the decode will run.
+/// Result of the plan stage.
 #[derive(Clone, Debug)]
-pub(super) struct Planned {
-    pub(super) decode: Placed,
-    /// When its place is free.
+pub(super) struct DecodePlan {
+    pub(super) decode: Target,
+    /// Time until the decode memory is free.
     pub(super) ready_in: Duration,
+    /// Whether the decode memory is held for the attempt.
     pub(super) held: bool,
 }
 
-/// The part of an order that is the same in every stage.
+/// Returns the work description for orders of any stage.
 pub(super) fn work(
     context: &Context,
-    ticket: &Ticket,
+    info: &RequestInfo,
     completion: &Completion,
     dispatch: &Dispatch<'_>,
     endpoint: &Arc<str>,
@@ -47,70 +48,70 @@
     Work {
         attempt: dispatch.attempt(),
         endpoint: endpoint.clone(),
-        customer: ticket.key.customer.clone(),
-        key: ticket.key.id.clone(),
+        customer: info.key.customer.clone(),
+        key: info.key.id.clone(),
         prompt_tokens: completion.prompt_tokens(),
         max_tokens: completion.max_tokens,
-        slack: slack(context, ticket),
-        timeout: remaining_timeout(context, ticket),
-        suspect: ticket.suspect,
+        slack: slack(context, info),
+        timeout: remaining_timeout(context, info),
+        suspect: info.suspect,
     }
 }
 
-/// Time left until the first token is due.
-pub(super) fn slack(context: &Context, ticket: &Ticket) -> Duration {
+/// Returns the time left until the first token is due.
+pub(super) fn slack(context: &Context, info: &RequestInfo) -> Duration {
     if !context.policy.uses_holds() {
-        return NO_SLACK;
+        return BASELINE_TIMEOUT;
     }
-    context.first_token.saturating_sub(context.clock.now().since(ticket.waiting))
+    context.first_token.saturating_sub(context.clock.now().since(info.waiting_since))
 }
 
-/// Time left until the request is given up.
-pub(super) fn remaining_timeout(context: &Context, ticket: &Ticket) -> Duration {
+/// Returns the time left until the request is refused if it has not started.
+pub(super) fn remaining_timeout(context: &Context, info: &RequestInfo) -> Duration {
     if !context.policy.uses_holds() {
-        return NO_SLACK;
+        return BASELINE_TIMEOUT;
     }
-    let all = if ticket.suspect {
+    let timeout = if info.suspect {
         context.first_token_timeout.max(SUSPECT_TIMEOUT)
     } else {
         context.first_token_timeout
     };
-    all.saturating_sub(context.clock.now().since(ticket.waiting))
+    timeout.saturating_sub(context.clock.now().since(info.waiting_since))
 }
 
-/// Chooses a decode endpoint and, by policy, holds its memory.
+/// Chooses a decode endpoint and, if the policy uses holds, requests a hold on its memory.
 pub(super) async fn plan(
     context: &Context,
-    ticket: &Ticket,
+    info: &RequestInfo,
     completion: &Completion,
     dispatch: &mut Dispatch<'_>,
     tried: &BTreeSet<Arc<str>>,
-) -> Result<Planned, Failure> {
-    super::recheck(context, ticket)?;
+) -> Result<DecodePlan, Failure> {
+    super::recheck(context, info)?;
     let need = Need::Decode(pieces(completion.prompt_tokens() + completion.max_tokens));
-    let placement = Placement {
+    let request = PlacementRequest {
         attempt: dispatch.attempt(),
         serves: completion.model.clone(),
         role: Role::Decode,
         need,
         tried: tried.clone(),
     };
-    let placed = context.control.place(placement).await.ok_or_else(no_endpoint)?;
+    let target = context.control.place(request).await.ok_or_else(no_endpoint)?;
     if !context.policy.uses_holds() {
-        return Ok(Planned { decode: placed, ready_in: Duration::ZERO, held: false });
+        return Ok(DecodePlan { decode: target, ready_in: Duration::ZERO, held: false });
     }
-    let work = work(context, ticket, completion, dispatch, &placed.endpoint);
-    let limit = work.timeout + ANSWER_GRACE;
+    let work = work(context, info, completion, dispatch, &target.endpoint);
+    let limit = work.timeout + HOLD_REPLY_GRACE;
     let order = Order::Hold { work, ahead: context.policy.promises_ahead() };
-    dispatch.send(&placed.agent, &placed.endpoint, order)?;
+    dispatch.send(&target.agent, &target.endpoint, order)?;
     loop {
-        if let Event::Held { ready_in, .. } = dispatch.next(&placed.endpoint, limit).await? {
-            return Ok(Planned { decode: placed, ready_in, held: true });
+        if let Event::Held { ready_in, .. } = dispatch.next_event(&target.endpoint, limit).await? {
+            return Ok(DecodePlan { decode: target, ready_in, held: true });
         }
     }
 }
 
-/// The refusal when no endpoint can be chosen.
+/// Returns the failure for work that no endpoint can take.
 pub(super) fn no_endpoint() -> Failure {
     let refusal = Refusal::not_run(Code::NoEndpoint, "no endpoint can take this work now");
     Failure::Refused(refusal.with_retry_after(Duration::from_secs(1)))
