--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -81,12 +81,13 @@
 
     /// Reads the next chunk of the body; `None` at its regular end.
     pub(crate) async fn next_chunk(&mut self) -> Result<Option<Bytes>, Failure> {
-        self.connection.part(&mut self.decoder).await.map_err(Failure::Connection)
+        self.connection.read_part(&mut self.decoder).await.map_err(Failure::Connection)
     }
 
     /// Reads the whole body and returns the connection to the pool.
     pub(crate) async fn read_whole(mut self) -> Result<(Response, Reply, Bytes), Failure> {
-        let body = self.connection.whole(&mut self.decoder, MAX_BODY).await.map_err(Failure::Connection)?;
+        let body =
+            self.connection.read_body(&mut self.decoder, MAX_BODY).await.map_err(Failure::Connection)?;
         let (head, reply) = (self.head.clone(), self.reply.clone());
         self.recycle();
         Ok((head, reply, body))
@@ -150,7 +151,7 @@
             // An informational response, or a late response to an earlier request.
             let is_unrelated = response.status < 200 || id.is_some() && reply.id.as_deref() != id;
             if is_unrelated && (response.status < 200 || reply.id.is_some()) {
-                connection.whole(&mut decoder, MAX_BODY).await.map_err(Failure::Connection)?;
+                connection.read_body(&mut decoder, MAX_BODY).await.map_err(Failure::Connection)?;
                 continue;
             }
             if is_unrelated && response.status < 400 {
@@ -242,7 +243,7 @@
     connection: &mut Connection,
     writing: &mut PendingWrite<'_>,
 ) -> Result<Response, Error> {
-    let mut reading = pin!(connection.response(MAX_HEAD));
+    let mut reading = pin!(connection.read_response(MAX_HEAD));
     poll_fn(|cx| {
         writing.poll(cx);
         reading.as_mut().poll(cx)
