--- a/crates/daemon/src/agent/server.rs
+++ b/crates/daemon/src/agent/server.rs
@@ -117,7 +117,7 @@
         match Order::try_from(order) {
             Ok(Order::Heartbeat(heartbeat)) => {
                 pace.set(heartbeat.interval);
-                current.heard(&link_name(link), &heartbeat);
+                current.record_heartbeat(&link_name(link), &heartbeat);
             }
             Ok(order) => control.input(Input::Order(link, order)),
             Err(error) => spdlog::warn!("order ignored: {error}"),
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -64,7 +64,7 @@
                 if let Some(PeerReply::Heartbeat(heartbeat)) =
                     context.peers.ask(&address, &context.name, ask).await
                 {
-                    context.current.heard(&name, &heartbeat);
+                    context.current.record_heartbeat(&name, &heartbeat);
                 }
             });
         }
--- a/crates/daemon/src/entry/links.rs
+++ b/crates/daemon/src/entry/links.rs
@@ -190,7 +190,7 @@
     }
 
     fn heard(&self, agent: &Arc<str>, heartbeat: Heartbeat) {
-        self.0.current.heard(&format!("agent {agent}").into(), &heartbeat);
+        self.0.current.record_heartbeat(&format!("agent {agent}").into(), &heartbeat);
         self.0.control.loads(heartbeat.loads);
     }
 
--- a/crates/daemon/src/entry/operators.rs
+++ b/crates/daemon/src/entry/operators.rs
@@ -160,7 +160,7 @@
 async fn accepted(context: &Context, version: u64) -> Outbound {
     // In force here before the operator hears of it; everywhere else by heartbeats and polls.
     let _ = context.current.refresh(&*context.table).await;
-    context.current.nudge();
+    context.current.request_refresh();
     Outbound::json(200, &json!({"outcome": "confirmed", "version": version}))
 }
 
--- a/crates/daemon/src/entry/owner.rs
+++ b/crates/daemon/src/entry/owner.rs
@@ -389,7 +389,7 @@
                 }
             }
             PeerRequest::Heartbeat(heartbeat) => {
-                self.current.heard(from, &heartbeat);
+                self.current.record_heartbeat(from, &heartbeat);
                 PeerReply::Heartbeat(self.current.heartbeat())
             }
             PeerRequest::CrashStatus { customer, fingerprint, crashed } => {
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -57,16 +57,16 @@
     }
 
     /// Takes a peer's heartbeat, and asks the table if the peer has newer settings.
-    pub(crate) fn heard(&self, peer: &Arc<str>, heartbeat: &Heartbeat) {
+    pub(crate) fn record_heartbeat(&self, peer: &Arc<str>, heartbeat: &Heartbeat) {
         let now = self.clock.now();
         self.freshness(|freshness| freshness.record_heartbeat(now, peer, heartbeat));
         if heartbeat.version > self.get().version {
-            self.nudge();
+            self.request_refresh();
         }
     }
 
     /// Asks for a read of the table soon, because someone has seen a newer version.
-    pub(crate) fn nudge(&self) {
+    pub(crate) fn request_refresh(&self) {
         let _ = self.changed.0.try_send(());
     }
 
