--- a/crates/daemon/src/agent.rs
+++ b/crates/daemon/src/agent.rs
@@ -106,7 +106,7 @@
     metrics: Arc<Metrics>,
 ) -> Outbound {
     let ready = current.get().version > 0;
-    if let Some(outbound) = admin::common(&inbound, metrics.registry(), ready) {
+    if let Some(outbound) = admin::answer_common(&inbound, metrics.registry(), ready) {
         return outbound;
     }
     match (inbound.method.as_str(), inbound.path.as_str()) {
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -130,5 +130,5 @@
     }
     admin.status.update_metrics().await;
     admin.dropped.set(i64::try_from(logging::dropped()).unwrap_or(i64::MAX));
-    admin::common(&inbound, &admin.registry, is_ready).unwrap_or_else(|| admin::not_found(&inbound))
+    admin::answer_common(&inbound, &admin.registry, is_ready).unwrap_or_else(|| admin::not_found(&inbound))
 }
