--- a/crates/bench/src/published/site.rs
+++ b/crates/bench/src/published/site.rs
@@ -16,7 +16,7 @@
 use tarragonhill_daemon::{
     StartError,
     config::{CommonSettings, GatewaySettings},
-    gateway::Role as Gateway,
+    gateway::Process as Gateway,
     logging,
 };
 
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -21,14 +21,14 @@
 const UPDATES: usize = 64;
 
 /// A running gateway with its admin address and its view of the store.
-pub struct Role {
+pub struct Process {
     name: Arc<str>,
     gateway: Gateway,
     admin: SocketAddr,
     answering: JoinHandle<()>,
 }
 
-impl Role {
+impl Process {
     /// Starts a gateway.
     pub async fn start(settings: GatewaySettings, clock: Clock) -> Result<Self, StartError> {
         let registry = Registry::new();
@@ -96,9 +96,9 @@
 
 /// Runs a gateway until `stop` gives the word.
 pub async fn run(settings: GatewaySettings, clock: Clock, stop: Receiver<()>) -> Result<(), StartError> {
-    let role = Role::start(settings, clock).await?;
+    let process = Process::start(settings, clock).await?;
     let _ = stop.recv().await;
-    role.shutdown().await;
+    process.shutdown().await;
     Ok(())
 }
 
