--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -298,7 +298,7 @@
             table: address("table", &common.table)?,
             poll: millis("poll-ms", common.poll_ms, 10, 10_000)?,
             drain: millis("drain-ms", common.drain_ms, 0, 3_600_000)?,
-            log: logging::level(&common.log).ok_or_else(|| {
+            log: logging::parse_level(&common.log).ok_or_else(|| {
                 wrong("log", format!("{:?} is not one of off, error, warn, info, debug", common.log))
             })?,
         })
@@ -396,7 +396,7 @@
 }
 
 /// Names of all settings, as flags without the dashes.
-pub const NAMES: [&str; 24] = [
+pub const SETTING_NAMES: [&str; 24] = [
     "name",
     "zone",
     "listen",
@@ -435,7 +435,7 @@
         }
         let Some(rest) = variable.strip_prefix(ENV_PREFIX) else { continue };
         let setting = rest.to_ascii_lowercase().replace('_', "-");
-        if !NAMES.contains(&setting.as_str()) {
+        if !SETTING_NAMES.contains(&setting.as_str()) {
             return Err(wrong(&setting, format!("environment variable {variable} names no setting")));
         }
     }
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -57,7 +57,8 @@
             error,
         })?;
         let admin = server.address();
-        let admin_state = Admin { status: gateway.status(), dropped: dropped_lines(&registry), registry };
+        let admin_state =
+            Admin { status: gateway.status(), dropped: register_dropped_lines(&registry), registry };
         let answering = task::spawn(server.serve(move |inbound| answer(inbound, admin_state.clone())));
         spdlog::info!("gateway started", kv: {
             name = &*common.name, zone = &*common.zone, listen = gateway.address().to_string().as_str()
@@ -111,7 +112,7 @@
     dropped: IntGauge,
 }
 
-fn dropped_lines(registry: &Registry) -> IntGauge {
+fn register_dropped_lines(registry: &Registry) -> IntGauge {
     let gauge = IntGauge::new("log_lines_dropped", "Log lines dropped because the queue was full");
     let gauge = gauge.expect("the name is constant and valid");
     if let Err(error) = registry.register(Box::new(gauge.clone())) {
@@ -129,6 +130,6 @@
         return Outbound::json(200, &admin.status.dump().await);
     }
     admin.status.update_metrics().await;
-    admin.dropped.set(i64::try_from(logging::dropped()).unwrap_or(i64::MAX));
+    admin.dropped.set(i64::try_from(logging::dropped_lines()).unwrap_or(i64::MAX));
     admin::answer_common(&inbound, &admin.registry, is_ready).unwrap_or_else(|| admin::not_found(&inbound))
 }
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -30,7 +30,7 @@
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
 /// How many lines were dropped since the start.
-pub fn dropped() -> u64 {
+pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
@@ -85,7 +85,7 @@
 }
 
 /// Reads a level by name.
-pub fn level(name: &str) -> Option<LevelFilter> {
+pub fn parse_level(name: &str) -> Option<LevelFilter> {
     use spdlog::Level;
     match name {
         "off" => Some(LevelFilter::Off),
--- a/crates/daemon/tests/config.rs
+++ b/crates/daemon/tests/config.rs
@@ -1,6 +1,6 @@
 //! Settings are checked at start, and what is wrong is told by name.
 
-use tarragonhill_daemon::config::{self, ConfigError, NAMES, Settings};
+use tarragonhill_daemon::config::{self, ConfigError, SETTING_NAMES, Settings};
 
 const ENTRY: [&str; 13] = [
     "entry",
@@ -64,7 +64,8 @@
     let error =
         config::check_environment(["TARRAGONHILL_POLICI".to_owned()].into_iter()).expect_err("refused");
     assert!(error.to_string().contains("TARRAGONHILL_POLICI"));
-    let known = NAMES.iter().map(|name| format!("TARRAGONHILL_{}", name.to_uppercase().replace('-', "_")));
+    let known =
+        SETTING_NAMES.iter().map(|name| format!("TARRAGONHILL_{}", name.to_uppercase().replace('-', "_")));
     assert_eq!(config::check_environment(known), Ok(()));
 }
 
@@ -76,7 +77,7 @@
         page.lines().filter_map(|line| line.strip_prefix("| `")?.split('`').next()).collect();
     assert_eq!(
         listed.iter().copied().collect::<std::collections::BTreeSet<_>>(),
-        NAMES.into_iter().collect()
+        SETTING_NAMES.into_iter().collect()
     );
     let entry = config::options().run_inner(&["entry", "--help"]).expect_err("help").unwrap_stdout();
     let gateway = config::options().run_inner(&["gateway", "--help"]).expect_err("help").unwrap_stdout();
