--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -1,14 +1,14 @@
-//! The admin address that every daemon has: metrics, health, readiness and state dump.
+//! Handlers of the admin paths that all roles share: metrics, health and readiness.
 
 use prometheus::{Encoder as _, Registry, TextEncoder};
 use tarragonhill_http::server::{Inbound, Outbound};
 
-/// Answers what is the same on every daemon; `None` for other paths.
-pub(crate) fn answer_common(inbound: &Inbound, registry: &Registry, ready: bool) -> Option<Outbound> {
+/// Handles the paths that all roles share; returns `None` for other paths.
+pub(crate) fn answer_common(inbound: &Inbound, registry: &Registry, is_ready: bool) -> Option<Outbound> {
     match (inbound.method.as_str(), inbound.path.as_str()) {
         ("GET", "/metrics") => Some(metrics(registry)),
         ("GET", "/healthz") => Some(Outbound::text(200, "ok\n")),
-        ("GET", "/readyz") if ready => Some(Outbound::text(200, "ready\n")),
+        ("GET", "/readyz") if is_ready => Some(Outbound::text(200, "ready\n")),
         ("GET", "/readyz") => Some(Outbound::text(503, "not ready\n")),
         _ => None,
     }
@@ -23,7 +23,7 @@
     }
 }
 
-/// The answer for a path that does not exist.
+/// Returns the 404 response for an unknown path.
 pub(crate) fn not_found(inbound: &Inbound) -> Outbound {
     let message = format!("no {} {}", inbound.method, inbound.path);
     Outbound::json(404, &serde_json::json!({"error": {"code": "not_found", "message": message}}))
--- a/crates/daemon/src/agent.rs
+++ b/crates/daemon/src/agent.rs
@@ -1,4 +1,4 @@
-//! The agent role: one small process beside endpoints, the only one that drives them.
+//! The agent role: runs next to endpoints and is the only process that starts work on them.
 
 mod control;
 mod handle;
@@ -23,9 +23,9 @@
     settings::Current,
 };
 
-/// Settings that entries vouch for as no older than this are not polled for.
-const TRUST: Duration = Duration::from_secs(6);
-/// How often a shutdown looks whether everything has ended.
+/// The table is not polled while heartbeats confirm that the settings are at most this old.
+const MAX_UNPOLLED_AGE: Duration = Duration::from_secs(6);
+/// How often a shutdown checks whether all work has ended.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
 /// A running agent.
@@ -39,18 +39,18 @@
 }
 
 impl Agent {
-    /// Starts an agent.
+    /// Starts an agent and returns once it is listening.
     pub async fn start(settings: AgentSettings, clock: Clock) -> Result<Self, StartError> {
         let common = settings.common;
         let current = Arc::new(Current::new(clock.clone()));
         let metrics = Metrics::new();
         let control = control::start(settings.fronts, clock.clone(), current.clone(), metrics.clone())
             .map_err(StartError::Thread)?;
-        let (address, serve) = server::serve(common.listen, control.clone(), current.clone())?;
+        let (address, link_server) = server::serve(common.listen, control.clone(), current.clone())?;
         let admin_server = bind("admin", common.admin).await?;
         let admin = admin_server.address();
-        let mut tasks = vec![serve];
-        tasks.push(task::spawn(follow(current.clone(), common.table, common.poll, control.clone())));
+        let mut tasks = vec![link_server];
+        tasks.push(task::spawn(watch_settings(current.clone(), common.table, common.poll, control.clone())));
         let handler_control = control.clone();
         tasks.push(task::spawn(admin_server.serve(move |inbound| {
             answer(inbound, handler_control.clone(), current.clone(), metrics.clone())
@@ -59,27 +59,27 @@
         Ok(Self { address, admin, control, clock, drain: common.drain, tasks })
     }
 
-    /// Where entries reach it.
+    /// Returns the bound address for entries.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where operators reach it.
+    /// Returns the bound address of the admin server.
     pub fn admin(&self) -> SocketAddr {
         self.admin
     }
 
-    /// Takes no new work, waits for what runs, then stops.
+    /// Rejects new work, waits for running work up to the drain limit, then stops.
     pub async fn shutdown(self) {
         self.control.input(Input::Leave);
-        let began = self.clock.now();
-        while self.clock.now().since(began) < self.drain && !self.control.is_idle().await {
+        let started_at = self.clock.now();
+        while self.clock.now().since(started_at) < self.drain && !self.control.is_idle().await {
             self.clock.sleep(DRAIN_POLL).await;
         }
         self.kill().await;
     }
 
-    /// Stops at once, as a crash would.
+    /// Cancels all tasks at once, as in a crash.
     pub async fn kill(self) {
         self.control.stop();
         for task in self.tasks {
@@ -88,15 +88,17 @@
     }
 }
 
-/// Binds an HTTP server for the setting named.
+/// Binds an HTTP server to the address that `setting` holds.
 pub(crate) async fn bind(setting: &'static str, address: SocketAddr) -> Result<Server, StartError> {
     let server = Server::bind(&address.to_string(), Limits::default()).await;
     server.map_err(|error| StartError::Listen { setting, address: address.to_string(), error })
 }
 
-async fn follow(current: Arc<Current>, table: SocketAddr, poll: Duration, control: Control) {
+async fn watch_settings(current: Arc<Current>, table: SocketAddr, poll: Duration, control: Control) {
     let table = HttpTable::new(table);
-    current.follow(&table, poll, Some(TRUST), |snapshot| control.input(Input::Settings(snapshot))).await;
+    current
+        .follow(&table, poll, Some(MAX_UNPOLLED_AGE), |snapshot| control.input(Input::Settings(snapshot)))
+        .await;
 }
 
 async fn answer(
@@ -105,8 +107,8 @@
     current: Arc<Current>,
     metrics: Arc<Metrics>,
 ) -> Outbound {
-    let ready = current.get().version > 0;
-    if let Some(outbound) = admin::answer_common(&inbound, metrics.registry(), ready) {
+    let is_ready = current.get().version > 0;
+    if let Some(outbound) = admin::answer_common(&inbound, metrics.registry(), is_ready) {
         return outbound;
     }
     match (inbound.method.as_str(), inbound.path.as_str()) {
--- a/crates/daemon/src/agent/control.rs
+++ b/crates/daemon/src/agent/control.rs
@@ -1,4 +1,4 @@
-//! The agent's control thread: the only owner of its decisions.
+//! The agent's control thread, the only owner of its scheduling state.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -26,12 +26,12 @@
     settings::Current,
 };
 
-/// How often time passes for the decisions while there is work.
+/// Interval of ticks while there is work.
 const TICK: Duration = Duration::from_millis(5);
-/// How often it passes while there is none: only tombstones age.
+/// Interval of ticks without work, when only tombstones expire.
 const IDLE_TICK: Duration = Duration::from_millis(250);
 
-/// Starts the thread.
+/// Starts the control thread for the endpoints named in `fronts`.
 pub(crate) fn start(
     fronts: BTreeSet<Arc<str>>,
     clock: Clock,
@@ -41,12 +41,13 @@
     let (sender, receiver) = async_channel::unbounded();
     let control = Control::new(sender);
     let workers = Workers::new(control.clone());
-    let owner = Owner { state: State::new(fronts), clock, current, metrics, workers, links: BTreeMap::new() };
-    thread::Builder::new().name("control".into()).spawn(move || task::block_on(owner.run(receiver)))?;
+    let controller =
+        Controller { state: State::new(fronts), clock, current, metrics, workers, links: BTreeMap::new() };
+    thread::Builder::new().name("control".into()).spawn(move || task::block_on(controller.run(receiver)))?;
     Ok(control)
 }
 
-struct Owner {
+struct Controller {
     state: State,
     clock: Clock,
     current: Arc<Current>,
@@ -55,26 +56,26 @@
     links: BTreeMap<Link, Sender<Event>>,
 }
 
-impl Owner {
+impl Controller {
     async fn run(mut self, commands: Receiver<Command>) {
         loop {
-            let pause = if self.state.is_idle() { IDLE_TICK } else { TICK };
-            let command = match async_std::future::timeout(pause, commands.recv()).await {
+            let interval = if self.state.is_idle() { IDLE_TICK } else { TICK };
+            let command = match async_std::future::timeout(interval, commands.recv()).await {
                 Ok(Ok(command)) => command,
                 Ok(Err(_)) => return,
                 Err(_) => Command::Input(Input::Tick),
             };
             match command {
                 Command::Input(input) => self.step(input),
-                Command::Opened(link, events) => {
+                Command::LinkOpened(link, events) => {
                     self.links.insert(link, events);
                 }
                 Command::Loads(reply) => {
                     let loads = self.state.loads();
-                    self.metrics.report(&loads);
+                    self.metrics.set_loads(&loads);
                     let _ = reply.try_send(loads);
                 }
-                Command::Idle(reply) => {
+                Command::IsIdle(reply) => {
                     let _ = reply.try_send(self.state.is_idle());
                 }
                 Command::Dump(reply) => {
@@ -91,31 +92,31 @@
         }
         let actions = self.state.step(self.clock.now(), input);
         for action in actions {
-            self.metrics.count(&action);
-            self.act(action);
+            self.metrics.count_event(&action);
+            self.execute(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
-        let endpoints = self.current.get();
+    fn execute(&mut self, action: Action) {
+        let settings = self.current.get();
         match action {
             Action::Send(link, event) => self.send(link, event),
-            Action::Prefill(work, prompt) => self.workers.prefill(&endpoints, work, prompt),
+            Action::Prefill(work, prompt) => self.workers.prefill(&settings, work, prompt),
             Action::Decode { link, work, source, kv, from_index } => {
                 let Some(events) = self.links.get(&link).cloned() else {
-                    // The link went while the action was made; nobody waits for the tokens.
-                    return self.workers.skip(work);
+                    // The link closed in the meantime.
+                    return self.workers.report_failure(work);
                 };
-                self.workers.decode(&endpoints, work, source, kv, from_index, events);
+                self.workers.decode(&settings, work, source, kv, from_index, events);
             }
-            Action::Call(work, call) => self.workers.call(&endpoints, work, call),
-            Action::Abort(attempt, endpoint) => self.workers.abort(&endpoints, attempt, endpoint),
+            Action::Call(work, call) => self.workers.call(&settings, work, call),
+            Action::Abort(attempt, endpoint) => self.workers.abort(&settings, attempt, endpoint),
             Action::Serve(_, endpoint) => self.workers.serve(endpoint),
         }
     }
 
-    /// An entry too slow to take its events must not fill the agent's memory; it is better off
-    /// with a broken link, which it notices.
+    /// Sends an event over a link, and closes the link if its backlog is full, to bound the memory that a
+    /// slow entry uses.
     fn send(&mut self, link: Link, event: Event) {
         let Some(events) = self.links.get(&link) else { return };
         if events.len() >= LINK_BACKLOG || events.try_send(event).is_err() {
@@ -124,7 +125,7 @@
     }
 
     fn dump(&self) -> Value {
-        let loads: Vec<Value> = self.state.loads().iter().map(load).collect();
+        let loads: Vec<Value> = self.state.loads().iter().map(load_json).collect();
         let heartbeat = self.current.heartbeat();
         json!({
             "role": "agent",
@@ -138,7 +139,7 @@
     }
 }
 
-fn load(load: &Load) -> Value {
+fn load_json(load: &Load) -> Value {
     json!({
         "endpoint": load.endpoint,
         "free_pieces": load.free_pieces,
--- a/crates/daemon/src/agent/handle.rs
+++ b/crates/daemon/src/agent/handle.rs
@@ -1,4 +1,4 @@
-//! The handle by which everything else talks to the agent's control thread.
+//! Handle for sending commands to the agent's control thread.
 
 use async_channel::Sender;
 use serde_json::Value;
@@ -8,68 +8,68 @@
     message::{Event, Load},
 };
 
-/// Events that may wait for a slow link. The channel itself has no bound, since a bounded one
-/// takes the memory for all of them at once, for each link.
+/// Maximum number of queued events of a link. The channel is unbounded, because a bounded one allocates
+/// its whole capacity in advance.
 pub(crate) const LINK_BACKLOG: usize = 65_536;
 
-/// What the thread is asked.
+/// A command to the control thread.
 pub(crate) enum Command {
     Input(Input),
-    Opened(Link, Sender<Event>),
+    LinkOpened(Link, Sender<Event>),
     Loads(Sender<Vec<Load>>),
-    Idle(Sender<bool>),
+    IsIdle(Sender<bool>),
     Dump(Sender<Value>),
     Stop,
 }
 
-/// Talks to the control thread.
+/// Handle to the control thread.
 #[derive(Clone)]
 pub(crate) struct Control(Sender<Command>);
 
 impl Control {
-    /// A handle on the thread that reads the other end.
+    /// Creates a handle to the thread that receives from `commands`.
     pub(crate) fn new(commands: Sender<Command>) -> Self {
         Self(commands)
     }
 
-    /// Hands an input to the decisions.
+    /// Sends an input for [`tarragonhill_core::agent::State::step`].
     pub(crate) fn input(&self, input: Input) {
         let _ = self.0.try_send(Command::Input(input));
     }
 
-    /// Announces a link, and where its events go.
-    pub(crate) fn opened(&self, link: Link, events: Sender<Event>) {
-        let _ = self.0.try_send(Command::Opened(link, events));
+    /// Registers a new link and the channel for its events.
+    pub(crate) fn open_link(&self, link: Link, events: Sender<Event>) {
+        let _ = self.0.try_send(Command::LinkOpened(link, events));
     }
 
-    /// Load of all endpoints, fresh; none once the thread has ended.
+    /// Returns the current load of all endpoints, or `None` if the control thread has ended.
     pub(crate) async fn loads(&self) -> Option<Vec<Load>> {
-        self.ask(Command::Loads).await
+        self.request(Command::Loads).await
     }
 
-    /// Whether nothing runs or waits.
+    /// Returns whether no work is running or queued.
     pub(crate) async fn is_idle(&self) -> bool {
-        self.ask(Command::Idle).await.unwrap_or(true)
+        self.request(Command::IsIdle).await.unwrap_or(true)
     }
 
-    /// The state, for people.
+    /// Returns the state as JSON for operators.
     pub(crate) async fn dump(&self) -> Value {
-        self.ask(Command::Dump).await.unwrap_or_default()
+        self.request(Command::Dump).await.unwrap_or_default()
     }
 
-    /// Ends the thread.
+    /// Stops the control thread.
     pub(crate) fn stop(&self) {
         let _ = self.0.try_send(Command::Stop);
     }
 
-    async fn ask<T>(&self, command: impl FnOnce(Sender<T>) -> Command) -> Option<T> {
+    async fn request<T>(&self, command: impl FnOnce(Sender<T>) -> Command) -> Option<T> {
         let (sender, receiver) = async_channel::bounded(1);
         self.0.try_send(command(sender)).ok()?;
         receiver.recv().await.ok()
     }
 }
 
-/// Names work towards an engine.
+/// Returns the identifier of an attempt's work in requests to an engine.
 pub(crate) fn work_id(attempt: Attempt) -> String {
     attempt.to_string()
 }
--- a/crates/daemon/src/agent/metrics.rs
+++ b/crates/daemon/src/agent/metrics.rs
@@ -8,7 +8,7 @@
     message::{Event, Load},
 };
 
-/// All metrics of one agent.
+/// Metrics of one agent.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
@@ -42,7 +42,7 @@
         &self.registry
     }
 
-    pub(crate) fn count(&self, action: &Action) {
+    pub(crate) fn count_event(&self, action: &Action) {
         let Action::Send(_, event) = action else { return };
         let name = match event {
             Event::Held { .. } => "held",
@@ -59,7 +59,7 @@
         self.events.with_label_values(&[name]).inc();
     }
 
-    pub(crate) fn report(&self, loads: &[Load]) {
+    pub(crate) fn set_loads(&self, loads: &[Load]) {
         for load in loads {
             let label = [&*load.endpoint];
             self.free.with_label_values(&label).set(load.free_pieces.into());
@@ -69,7 +69,7 @@
     }
 }
 
-/// A counter with one label. The names are constants, so that making one cannot fail.
+/// Creates counters with one label. `name` must be a valid metric name.
 #[allow(clippy::expect_used, reason = "constant names are valid")]
 pub(crate) fn counters(name: &str, help: &str, label: &str) -> IntCounterVec {
     IntCounterVec::new(Opts::new(name, help), &[label]).expect("valid metric name")
--- a/crates/daemon/src/agent/server.rs
+++ b/crates/daemon/src/agent/server.rs
@@ -1,4 +1,4 @@
-//! The agent's side of links: a tonic server on async-std tasks.
+//! gRPC server for links, the streams from entries to the agent.
 
 use std::{
     net::SocketAddr,
@@ -25,30 +25,30 @@
 
 use crate::{StartError, agent::handle::Control, settings::Current};
 
-/// How often heartbeats with fresh load go out on a link whose entry has not asked for a pace.
-const BEAT: Duration = Duration::from_millis(250);
-/// Beats that may be missing before a link is taken for dead.
-const MISSED: u32 = 2;
-/// Added to the silence allowed, for scheduling.
-const SILENCE_GRACE: Duration = Duration::from_secs(1);
+/// Default and minimum interval of heartbeats on a link.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// Heartbeat intervals, plus [`TIMEOUT_MARGIN`], after which a silent link is closed.
+const TIMEOUT_INTERVALS: u32 = 2;
+/// Added to the timeout of a link to allow for scheduling delays.
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
-/// Listens for entries.
+/// Starts the link server; returns its address and task.
 pub(crate) fn serve(
     address: SocketAddr,
     control: Control,
     current: Arc<Current>,
 ) -> Result<(SocketAddr, JoinHandle<()>), StartError> {
     let (incoming, address) = listen("listen", address)?;
-    let service = agent_server::AgentServer::new(Links { control, current, next: AtomicU64::new(1) });
+    let service = agent_server::AgentServer::new(Links { control, current, next_link: AtomicU64::new(1) });
     let task = task::spawn(async move {
         if let Err(error) = Server::builder().add_service(service).serve_with_incoming(incoming).await {
-            spdlog::error!("link server ended: {error}");
+            spdlog::error!("link server failed: {error}");
         }
     });
     Ok((address, task))
 }
 
-/// Listens on `address` for tonic, with no-delay on every accepted socket.
+/// Listens on `address` for a tonic server, with `TCP_NODELAY` on every accepted socket.
 pub(crate) fn listen(
     setting: &'static str,
     address: SocketAddr,
@@ -60,7 +60,7 @@
 struct Links {
     control: Control,
     current: Arc<Current>,
-    next: AtomicU64,
+    next_link: AtomicU64,
 }
 
 type Events = Pin<Box<dyn Stream<Item = Result<proto::Event, Status>> + Send>>;
@@ -70,16 +70,16 @@
     type LinkStream = Events;
 
     async fn link(&self, request: Request<Streaming<proto::Order>>) -> Result<Response<Events>, Status> {
-        let link = self.next.fetch_add(1, Ordering::Relaxed);
+        let link = self.next_link.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = async_channel::unbounded();
-        self.control.opened(link, sender.clone());
+        self.control.open_link(link, sender.clone());
         let (control, current) = (self.control.clone(), self.current.clone());
         let orders = request.into_inner();
         task::spawn(async move {
-            let pace = Pace::default();
-            let heartbeats = heartbeat(&control, &current, &sender, &pace);
-            let reads = read(&control, &current, link, orders, &pace);
-            reads.or(heartbeats).await;
+            let interval = Interval::default();
+            let heartbeats = send_heartbeats(&control, &current, &sender, &interval);
+            let receive = receive_orders(&control, &current, link, orders, &interval);
+            receive.or(heartbeats).await;
             control.input(Input::LinkLost(link));
             current.freshness(|freshness| freshness.remove_peer(&link_name(link)));
             sender.close();
@@ -88,57 +88,62 @@
     }
 }
 
-/// How often a link's entry wants to be beaten to; with many links it wants fewer beats on each.
+/// Heartbeat interval of a link, as its entry requested it. Entries with many links request a longer one.
 #[derive(Default)]
-struct Pace(AtomicU64);
+struct Interval(AtomicU64);
 
-impl Pace {
-    fn set(&self, every: Duration) {
-        self.0.store(micros(every), Ordering::Relaxed);
+impl Interval {
+    fn set(&self, interval: Duration) {
+        self.0.store(micros(interval), Ordering::Relaxed);
     }
 
-    fn every(&self) -> Duration {
-        Duration::from_micros(self.0.load(Ordering::Relaxed)).max(BEAT)
+    fn get(&self) -> Duration {
+        Duration::from_micros(self.0.load(Ordering::Relaxed)).max(HEARTBEAT_INTERVAL)
     }
 }
 
-/// Reads orders until the link ends or falls silent. An open connection can go silent for good
-/// while new ones work; nothing but the missing heartbeats shows it.
-async fn read(
+/// Receives orders until the link ends or its heartbeats stop. The timeout detects connections that stay
+/// open but no longer deliver data.
+async fn receive_orders(
     control: &Control,
     current: &Current,
     link: Link,
     mut orders: Streaming<proto::Order>,
-    pace: &Pace,
+    interval: &Interval,
 ) {
     loop {
-        let silence = pace.every() * MISSED + SILENCE_GRACE;
-        let Ok(Some(Ok(order))) = async_std::future::timeout(silence, orders.next()).await else { return };
+        let limit = interval.get() * TIMEOUT_INTERVALS + TIMEOUT_MARGIN;
+        let Ok(Some(Ok(order))) = async_std::future::timeout(limit, orders.next()).await else { return };
         match Order::try_from(order) {
             Ok(Order::Heartbeat(heartbeat)) => {
-                pace.set(heartbeat.interval);
+                interval.set(heartbeat.interval);
                 current.record_heartbeat(&link_name(link), &heartbeat);
             }
             Ok(order) => control.input(Input::Order(link, order)),
-            Err(error) => spdlog::warn!("order ignored: {error}"),
+            Err(error) => spdlog::warn!("ignoring invalid order: {error}"),
         }
     }
 }
 
-/// Name under which an entry's heartbeats count.
+/// Returns the peer name under which a link's heartbeats are recorded.
 fn link_name(link: Link) -> Arc<str> {
     format!("link {link}").into()
 }
 
-async fn heartbeat(control: &Control, current: &Current, events: &async_channel::Sender<Event>, pace: &Pace) {
+async fn send_heartbeats(
+    control: &Control,
+    current: &Current,
+    events: &async_channel::Sender<Event>,
+    interval: &Interval,
+) {
     loop {
         let mut heartbeat = current.heartbeat();
-        // Without its control thread the agent is dead, and must look so.
+        // Without the control thread the agent does not work, so the link must end.
         let Some(loads) = control.loads().await else { return };
         heartbeat.loads = loads;
         if events.send(Event::Heartbeat(heartbeat)).await.is_err() {
             return;
         }
-        task::sleep(pace.every()).await;
+        task::sleep(interval.get()).await;
     }
 }
--- a/crates/daemon/src/agent/work.rs
+++ b/crates/daemon/src/agent/work.rs
@@ -1,4 +1,4 @@
-//! Runs what the decisions start: one task for each prefill, decode and call.
+//! Tasks that run work on engines: one for each prefill, decode and call.
 
 use std::{
     collections::BTreeMap,
@@ -19,13 +19,13 @@
 
 use crate::agent::handle::{Control, LINK_BACKLOG, work_id};
 
-type Key = (Attempt, Arc<str>);
+type TaskKey = (Attempt, Arc<str>);
 
-/// All running tasks of one agent.
+/// Running tasks of one agent.
 pub(crate) struct Workers {
     control: Control,
     engines: BTreeMap<Arc<str>, Arc<dyn Engine>>,
-    running: Arc<Mutex<BTreeMap<Key, JoinHandle<()>>>>,
+    running: Arc<Mutex<BTreeMap<TaskKey, JoinHandle<()>>>>,
 }
 
 impl Workers {
@@ -48,7 +48,7 @@
     }
 
     pub(crate) fn prefill(&mut self, settings: &Snapshot, work: Work, prompt: Arc<str>) {
-        let Some(engine) = self.engine(settings, &work.endpoint) else { return self.skip(work) };
+        let Some(engine) = self.engine(settings, &work.endpoint) else { return self.report_failure(work) };
         self.run(work, move |work| async move { engine.prefill(&work, prompt).await });
     }
 
@@ -61,18 +61,18 @@
         from_index: u32,
         events: Sender<Event>,
     ) {
-        let Some(engine) = self.engine(settings, &work.endpoint) else { return self.skip(work) };
-        let sink = Tokens { attempt: work.attempt, events };
+        let Some(engine) = self.engine(settings, &work.endpoint) else { return self.report_failure(work) };
+        let sink = EventSink { attempt: work.attempt, events };
         self.run(work, move |work| async move { engine.decode(&work, source, kv, from_index, &sink).await });
     }
 
     pub(crate) fn call(&mut self, settings: &Snapshot, work: Work, call: Call) {
-        let Some(engine) = self.engine(settings, &work.endpoint) else { return self.skip(work) };
+        let Some(engine) = self.engine(settings, &work.endpoint) else { return self.report_failure(work) };
         self.run(work, move |work| async move { engine.call(&work, &call).await });
     }
 
-    /// Reports work that cannot run here as failed.
-    pub(crate) fn skip(&self, work: Work) {
+    /// Reports work that cannot be started as failed.
+    pub(crate) fn report_failure(&self, work: Work) {
         let outcome = Outcome::Failed(FailureCause::Failed);
         self.control.input(Input::Finished { attempt: work.attempt, endpoint: work.endpoint, outcome });
     }
@@ -83,22 +83,23 @@
         Fut: Future<Output = Outcome> + Send + 'static,
     {
         let key = (work.attempt, work.endpoint.clone());
-        let (control, running, owned) = (self.control.clone(), self.running.clone(), key.clone());
+        let (control, running, task_key) = (self.control.clone(), self.running.clone(), key.clone());
         let body = body(work);
-        let mut table = self.running.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut handles = self.running.lock().unwrap_or_else(PoisonError::into_inner);
         let handle = task::spawn(async move {
             let outcome = body.await;
-            // Whoever takes the handle out reports the end, so that it is reported exactly once.
-            let mine = running.lock().unwrap_or_else(PoisonError::into_inner).remove(&owned).is_some();
-            if mine {
-                let (attempt, endpoint) = owned;
+            // `abort` may remove the handle first. Only the remover reports the end, so it is reported once.
+            let was_present =
+                running.lock().unwrap_or_else(PoisonError::into_inner).remove(&task_key).is_some();
+            if was_present {
+                let (attempt, endpoint) = task_key;
                 control.input(Input::Finished { attempt, endpoint, outcome });
             }
         });
-        table.insert(key, handle);
+        handles.insert(key, handle);
     }
 
-    /// Stops a task, has the engine let go of its work, then reports the end.
+    /// Cancels a task, then its work on the engine, and reports the end.
     pub(crate) fn abort(&mut self, settings: &Snapshot, attempt: Attempt, endpoint: Arc<str>) {
         let key = (attempt, endpoint.clone());
         let handle = self.running.lock().unwrap_or_else(PoisonError::into_inner).remove(&key);
@@ -114,21 +115,21 @@
         });
     }
 
-    /// Orders an endpoint to serve something else.
+    /// Orders an endpoint to change its model or role.
     pub(crate) fn serve(&mut self, endpoint: Arc<Endpoint>) {
         let Some(engine) = self.engine_at(&endpoint.address) else { return };
         task::spawn(async move {
             let serves = endpoint.serves.to_string();
             match engine.serve(&endpoint).await {
-                Ok(()) => spdlog::info!("endpoint ordered", kv: { serves = serves.as_str() }),
+                Ok(()) => spdlog::info!("serve order accepted", kv: { serves = serves.as_str() }),
                 Err(error @ (EngineError::Fenced | EngineError::Failed(_))) => {
-                    spdlog::error!("order refused: {error}", kv: { serves = serves.as_str() });
+                    spdlog::error!("serve order failed: {error}", kv: { serves = serves.as_str() });
                 }
             }
         });
     }
 
-    /// Drops all tasks, as a crash would.
+    /// Cancels all tasks without reporting their end.
     pub(crate) fn stop(self) {
         let running = std::mem::take(&mut *self.running.lock().unwrap_or_else(PoisonError::into_inner));
         for (_, handle) in running {
@@ -137,12 +138,12 @@
     }
 }
 
-struct Tokens {
+struct EventSink {
     attempt: Attempt,
     events: Sender<Event>,
 }
 
-impl Sink for Tokens {
+impl Sink for EventSink {
     fn token(&self, index: u32, text: Arc<str>) -> Pin<Box<dyn Future<Output = ()> + Send + '_>> {
         let event = Event::Tokens { attempt: self.attempt, first_index: index, texts: vec![text] };
         Box::pin(async move {
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -1,7 +1,7 @@
-//! Settings of a daemon: flags and environment variables, all checked at start.
+//! Settings of a daemon: flags and environment variables, validated at startup.
 //!
-//! Every setting has a flag and an environment variable of the same name
-//! (`--first-token-ms`, `TARRAGONHILL_FIRST_TOKEN_MS`). What is wrong is told by the setting's name.
+//! Each setting has a flag and an environment variable of the same name, such as `--first-token-ms` and
+//! `TARRAGONHILL_FIRST_TOKEN_MS`. Errors name the setting.
 
 use std::{collections::BTreeSet, fmt, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,39 +12,39 @@
 
 use crate::logging;
 
-/// Prefix of all environment variables.
+/// Prefix of the environment variables.
 const ENV_PREFIX: &str = "TARRAGONHILL_";
 
-/// The command line as given.
+/// Command line before validation.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 /// Routes requests to separate prefill and decode pools.
 pub enum Options {
     #[bpaf(command("entry"))]
-    /// Faces callers and operators on an entry host
+    /// Accepts requests from callers and operators on an entry host
     Entry {
         #[bpaf(external(common))]
-        /// Settings of both roles.
+        /// Settings shared by all roles.
         common: Common,
         #[bpaf(external(entry_options))]
         /// Settings of this role.
         entry: EntryOptions,
     },
     #[bpaf(command("agent"))]
-    /// Stands beside endpoints and drives them
+    /// Runs next to endpoints and schedules work on them
     Agent {
         #[bpaf(external(common))]
-        /// Settings of both roles.
+        /// Settings shared by all roles.
         common: Common,
         #[bpaf(external(agent_options))]
         /// Settings of this role.
         agent: AgentOptions,
     },
     #[bpaf(command("gateway"))]
-    /// Passes requests on to the platform's endpoints on an entry host
+    /// Forwards requests from an entry host to the platform's endpoints
     Gateway {
         #[bpaf(external(common))]
-        /// Settings of all roles.
+        /// Settings shared by all roles.
         common: Common,
         #[bpaf(external(gateway_options))]
         /// Settings of this role.
@@ -53,7 +53,7 @@
 }
 
 impl Options {
-    /// Whether the settings are only to be checked.
+    /// Returns whether to check the settings and exit.
     pub fn is_check(&self) -> bool {
         match self {
             Self::Entry { common, .. } | Self::Agent { common, .. } | Self::Gateway { common, .. } => {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Settings of both roles, as given.
+/// Settings shared by all roles, before validation.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Common {
     /// Name of this process, unique in the fleet
@@ -72,19 +72,19 @@
     /// Availability zone of the host
     #[bpaf(long, env("TARRAGONHILL_ZONE"), argument("ZONE"))]
     pub zone: String,
-    /// Where to listen: callers on an entry, entries on an agent
+    /// Listen address for callers (entry and gateway) or for entries (agent)
     #[bpaf(long, env("TARRAGONHILL_LISTEN"), argument("IP:PORT"))]
     pub listen: String,
-    /// Where to listen for metrics, health, dumps and, on an entry, operators
+    /// Listen address for metrics, health checks, state dumps and, on an entry, operators
     #[bpaf(long, env("TARRAGONHILL_ADMIN"), argument("IP:PORT"))]
     pub admin: String,
-    /// The platform's table service
+    /// Address of the platform's table service
     #[bpaf(long, env("TARRAGONHILL_TABLE"), argument("IP:PORT"))]
     pub table: String,
-    /// How often the table is asked for new settings, milliseconds
+    /// Interval at which the table is polled for new settings, milliseconds
     #[bpaf(long, env("TARRAGONHILL_POLL_MS"), argument("MS"), fallback(1_000), display_fallback)]
     pub poll_ms: u64,
-    /// Longest wait for running requests on a graceful shutdown, milliseconds
+    /// Maximum wait for running requests in a graceful shutdown, milliseconds
     #[bpaf(long, env("TARRAGONHILL_DRAIN_MS"), argument("MS"), fallback(120_000), display_fallback)]
     pub drain_ms: u64,
     /// Log level: off, error, warn, info or debug
@@ -95,78 +95,78 @@
     pub check: bool,
 }
 
-/// Settings of an entry, as given.
+/// Settings of an entry, before validation.
 #[derive(Clone, Debug, Bpaf)]
 pub struct EntryOptions {
-    /// Where to listen for other entries
+    /// Listen address for other entries
     #[bpaf(long, env("TARRAGONHILL_PEER"), argument("IP:PORT"))]
     pub peer: String,
-    /// The platform's list of hosts; without it, only leases tell who is gone
+    /// Address of the platform's host list; without it, only expired leases reveal lost hosts
     #[bpaf(long, env("TARRAGONHILL_HOSTS"), argument("IP:PORT"), optional)]
     pub hosts: Option<String>,
-    /// Target for the first token, milliseconds
+    /// Target time to first token, milliseconds
     #[bpaf(long, env("TARRAGONHILL_FIRST_TOKEN_MS"), argument("MS"), fallback(900), display_fallback)]
     pub first_token_ms: u64,
-    /// Longest wait for the first token of a request that cannot meet the target, milliseconds
+    /// Maximum time to first token of a request that cannot meet the target, milliseconds
     #[bpaf(long, env("TARRAGONHILL_PATIENCE_MS"), argument("MS"), fallback(4_000), display_fallback)]
     pub patience_ms: u64,
-    /// Longest wait for tokens of the customer's rate, milliseconds
+    /// Maximum wait for the customer's token bucket, milliseconds
     #[bpaf(long, env("TARRAGONHILL_RATE_WAIT_MS"), argument("MS"), fallback(300), display_fallback)]
     pub rate_wait_ms: u64,
-    /// Largest request body, bytes
+    /// Maximum size of a request body, bytes
     #[bpaf(long, env("TARRAGONHILL_MAX_BODY"), argument("BYTES"), fallback(1_048_576), display_fallback)]
     pub max_body: usize,
-    /// Longest time for a request's head and for an idle connection, milliseconds
+    /// Timeout for a request's head and for idle connections, milliseconds
     #[bpaf(long, env("TARRAGONHILL_HEAD_MS"), argument("MS"), fallback(10_000), display_fallback)]
     pub head_ms: u64,
-    /// Longest time for a request's body, milliseconds
+    /// Timeout for a request's body, milliseconds
     #[bpaf(long, env("TARRAGONHILL_BODY_MS"), argument("MS"), fallback(10_000), display_fallback)]
     pub body_ms: u64,
-    /// Most callers' connections at once
+    /// Maximum number of open connections from callers
     #[bpaf(long, env("TARRAGONHILL_MAX_CONNECTIONS"), argument("N"), fallback(10_000), display_fallback)]
     pub max_connections: usize,
-    /// How requests are placed: current, hold-first, least-loaded or round-robin
+    /// Placement policy: current, hold-first, least-loaded or round-robin
     #[bpaf(long, env("TARRAGONHILL_POLICY"), argument("POLICY"), fallback("current".into()), display_fallback)]
     pub policy: String,
-    /// Token that operators must show; without it, whoever reaches the admin address may operate
+    /// Token that operators must send; without it, the admin address accepts operators' requests from anyone
     #[bpaf(long, env("TARRAGONHILL_OPERATOR_TOKEN"), argument("TOKEN"), optional)]
     pub operator_token: Option<String>,
 }
 
-/// Settings of an agent, as given.
+/// Settings of an agent, before validation.
 #[derive(Clone, Debug, Bpaf)]
 pub struct AgentOptions {
-    /// Names of the endpoints it fronts, separated by commas
+    /// Names of the endpoints that the agent manages, separated by commas
     #[bpaf(long, env("TARRAGONHILL_FRONTS"), argument("NAMES"))]
     pub fronts: String,
 }
 
-/// Settings of a gateway, as given.
+/// Settings of a gateway, before validation.
 #[derive(Clone, Debug, Bpaf)]
 pub struct GatewayOptions {
-    /// Where to hear other entries' digests
+    /// Listen address for digests from other gateways
     #[bpaf(long, env("TARRAGONHILL_PEER"), argument("IP:PORT"))]
     pub peer: String,
-    /// Longest time from the order to stop to the end, seconds
+    /// Maximum duration of a shutdown, seconds
     #[bpaf(long, env("TARRAGONHILL_GRACE_S"), argument("S"), fallback(8.0), display_fallback)]
     pub grace_s: f64,
-    /// Sends to a further endpoint for each request of a service
+    /// Retries on another endpoint allowed per request of a service
     #[bpaf(long, env("TARRAGONHILL_RETRY_RATIO"), argument("RATIO"), fallback(0.2), display_fallback)]
     pub retry_ratio: f64,
-    /// Sends to a further endpoint on top, over all entries
+    /// Retries allowed in addition to the ratio, over all gateways
     #[bpaf(long, env("TARRAGONHILL_RETRY_SLACK"), argument("N"), fallback(50.0), display_fallback)]
     pub retry_slack: f64,
-    /// Span over which sends to a further endpoint are counted, seconds
+    /// Window over which retries are counted, seconds
     #[bpaf(long, env("TARRAGONHILL_RETRY_WINDOW_S"), argument("S"), fallback(10.0), display_fallback)]
     pub retry_window_s: f64,
 }
 
-/// A setting that cannot be used.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// Name of the setting, as a flag without the dashes.
+    /// Name of the setting: the flag without the leading dashes.
     pub setting: String,
-    /// What is wrong with it.
+    /// Why it is invalid.
     pub problem: String,
 }
 
@@ -178,89 +178,89 @@
 
 impl std::error::Error for ConfigError {}
 
-fn wrong(setting: &str, problem: impl Into<String>) -> ConfigError {
+fn invalid(setting: &str, problem: impl Into<String>) -> ConfigError {
     ConfigError { setting: setting.to_owned(), problem: problem.into() }
 }
 
-/// Checked settings of both roles.
+/// Validated settings shared by all roles.
 #[derive(Clone, Debug)]
 pub struct CommonSettings {
-    /// Name of this process.
+    /// Name of this process, unique in the fleet.
     pub name: Arc<str>,
     /// Availability zone of the host.
     pub zone: Arc<str>,
-    /// Where to listen.
+    /// Listen address for callers or, on an agent, for entries.
     pub listen: SocketAddr,
-    /// Where to listen for operators.
+    /// Listen address of the admin server.
     pub admin: SocketAddr,
-    /// The table service.
+    /// Address of the table service.
     pub table: SocketAddr,
-    /// How often the table is polled.
+    /// Interval at which the table is polled.
     pub poll: Duration,
-    /// Longest wait for running requests on shutdown.
+    /// Maximum wait for running requests in a shutdown.
     pub drain: Duration,
-    /// Log level.
+    /// Minimum level of log lines.
     pub log: LevelFilter,
 }
 
-/// Checked settings of an entry.
+/// Validated settings of an entry.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// Settings of both roles.
+    /// Settings shared by all roles.
     pub common: CommonSettings,
-    /// Where to listen for other entries.
+    /// Listen address for other entries.
     pub peer: SocketAddr,
-    /// The list of hosts.
+    /// Address of the platform's list of hosts.
     pub hosts: Option<SocketAddr>,
-    /// Target for the first token.
+    /// Target time to first token.
     pub first_token: Duration,
-    /// Longest wait for the first token.
+    /// Maximum time to first token of a request that cannot meet the target.
     pub first_token_timeout: Duration,
-    /// Longest wait for tokens of the customer's rate.
+    /// Maximum wait for the customer's token bucket.
     pub rate_wait: Duration,
-    /// Bounds on what callers send.
+    /// Limits of callers' connections and requests.
     pub limits: Limits,
-    /// How requests are placed.
+    /// Placement policy.
     pub policy: Policy,
-    /// Token that operators must show.
+    /// Token that operators must send. `None` disables the check.
     pub operator_token: Option<Arc<str>>,
 }
 
-/// Checked settings of an agent.
+/// Validated settings of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
-    /// Settings of both roles.
+    /// Settings shared by all roles.
     pub common: CommonSettings,
-    /// Names of the endpoints it fronts.
+    /// Names of the endpoints that the agent manages.
     pub fronts: BTreeSet<Arc<str>>,
 }
 
-/// Checked settings of a gateway.
+/// Validated settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// Settings of all roles.
+    /// Settings shared by all roles.
     pub common: CommonSettings,
-    /// Where to hear other entries.
+    /// Listen address for peers.
     pub peer: SocketAddr,
-    /// Longest time from the order to stop to the end.
+    /// Maximum duration of a shutdown.
     pub grace: Duration,
-    /// How often requests may be sent to a further endpoint.
+    /// Retry budget.
     pub retries: Rule,
 }
 
-/// Checked settings of a daemon.
+/// Validated settings of a daemon.
 #[derive(Clone, Debug)]
 pub enum Settings {
-    /// Run an entry.
+    /// Settings of an entry.
     Entry(Box<EntrySettings>),
-    /// Run an agent.
+    /// Settings of an agent.
     Agent(AgentSettings),
-    /// Run a gateway.
+    /// Settings of a gateway.
     Gateway(GatewaySettings),
 }
 
 impl Settings {
-    /// Settings of both roles.
+    /// Returns the settings shared by all roles.
     pub fn common(&self) -> &CommonSettings {
         match self {
             Self::Entry(settings) => &settings.common,
@@ -276,11 +276,11 @@
     fn try_from(options: Options) -> Result<Self, Self::Error> {
         match options {
             Options::Entry { common, entry } => {
-                Ok(Self::Entry(Box::new(EntrySettings::check(common, entry)?)))
+                Ok(Self::Entry(Box::new(EntrySettings::validate(common, entry)?)))
             }
-            Options::Agent { common, agent } => Ok(Self::Agent(AgentSettings::check(common, agent)?)),
+            Options::Agent { common, agent } => Ok(Self::Agent(AgentSettings::validate(common, agent)?)),
             Options::Gateway { common, gateway } => {
-                Ok(Self::Gateway(GatewaySettings::check(common, gateway)?))
+                Ok(Self::Gateway(GatewaySettings::validate(common, gateway)?))
             }
         }
     }
@@ -299,14 +299,14 @@
             poll: millis("poll-ms", common.poll_ms, 10, 10_000)?,
             drain: millis("drain-ms", common.drain_ms, 0, 3_600_000)?,
             log: logging::parse_level(&common.log).ok_or_else(|| {
-                wrong("log", format!("{:?} is not one of off, error, warn, info, debug", common.log))
+                invalid("log", format!("{:?} is not one of off, error, warn, info, debug", common.log))
             })?,
         })
     }
 }
 
 impl EntrySettings {
-    fn check(common: Common, entry: EntryOptions) -> Result<Self, ConfigError> {
+    fn validate(common: Common, entry: EntryOptions) -> Result<Self, ConfigError> {
         let limits = Limits {
             body: count("max-body", entry.max_body, 1_024, 1 << 30)?,
             head_time: millis("head-ms", entry.head_ms, 10, 600_000)?,
@@ -314,13 +314,13 @@
             connections: count("max-connections", entry.max_connections, 1, 1_000_000)?,
         };
         let policy = entry.policy.parse().map_err(|_| {
-            wrong(
+            invalid(
                 "policy",
                 format!("{:?} is not one of current, hold-first, least-loaded, round-robin", entry.policy),
             )
         })?;
         if entry.operator_token.as_ref().is_some_and(|token| token.len() < 16) {
-            return Err(wrong("operator-token", "must be at least 16 characters"));
+            return Err(invalid("operator-token", "must be at least 16 characters"));
         }
         Ok(Self {
             common: common.try_into()?,
@@ -337,14 +337,14 @@
 }
 
 impl AgentSettings {
-    fn check(common: Common, agent: AgentOptions) -> Result<Self, ConfigError> {
+    fn validate(common: Common, agent: AgentOptions) -> Result<Self, ConfigError> {
         let names = agent.fronts.split(',').map(|part| name("fronts", part.trim()));
         Ok(Self { common: common.try_into()?, fronts: names.collect::<Result<_, _>>()? })
     }
 }
 
 impl GatewaySettings {
-    fn check(common: Common, gateway: GatewayOptions) -> Result<Self, ConfigError> {
+    fn validate(common: Common, gateway: GatewayOptions) -> Result<Self, ConfigError> {
         let retries = Rule {
             ratio: number("retry-ratio", gateway.retry_ratio, 0.0, 10.0)?,
             slack: number("retry-slack", gateway.retry_slack, 0.0, 1e6)?,
@@ -360,9 +360,10 @@
 }
 
 fn name(setting: &str, text: &str) -> Result<Arc<str>, ConfigError> {
-    let plain = text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
-    if text.is_empty() || text.len() > 64 || !plain {
-        return Err(wrong(
+    let has_valid_characters =
+        text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte));
+    if text.is_empty() || text.len() > 64 || !has_valid_characters {
+        return Err(invalid(
             setting,
             format!("{text:?} is not 1 to 64 letters, digits, dots, hyphens and underscores"),
         ));
@@ -371,31 +372,31 @@
 }
 
 fn address(setting: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| wrong(setting, format!("{text:?} is not an ip:port")))
+    text.parse().map_err(|_| invalid(setting, format!("{text:?} is not of the form ip:port")))
 }
 
-fn millis(setting: &str, value: u64, least: u64, most: u64) -> Result<Duration, ConfigError> {
-    if !(least..=most).contains(&value) {
-        return Err(wrong(setting, format!("{value} is not between {least} and {most}")));
+fn millis(setting: &str, value: u64, min: u64, max: u64) -> Result<Duration, ConfigError> {
+    if !(min..=max).contains(&value) {
+        return Err(invalid(setting, format!("{value} is not between {min} and {max}")));
     }
     Ok(Duration::from_millis(value))
 }
 
-fn number(setting: &str, value: f64, least: f64, most: f64) -> Result<f64, ConfigError> {
-    if !(least..=most).contains(&value) {
-        return Err(wrong(setting, format!("{value} is not between {least} and {most}")));
+fn number(setting: &str, value: f64, min: f64, max: f64) -> Result<f64, ConfigError> {
+    if !(min..=max).contains(&value) {
+        return Err(invalid(setting, format!("{value} is not between {min} and {max}")));
     }
     Ok(value)
 }
 
-fn count(setting: &str, value: usize, least: usize, most: usize) -> Result<usize, ConfigError> {
-    if !(least..=most).contains(&value) {
-        return Err(wrong(setting, format!("{value} is not between {least} and {most}")));
+fn count(setting: &str, value: usize, min: usize, max: usize) -> Result<usize, ConfigError> {
+    if !(min..=max).contains(&value) {
+        return Err(invalid(setting, format!("{value} is not between {min} and {max}")));
     }
     Ok(value)
 }
 
-/// Names of all settings, as flags without the dashes.
+/// Names of all settings: flags without the leading dashes.
 pub const SETTING_NAMES: [&str; 24] = [
     "name",
     "zone",
@@ -423,20 +424,22 @@
     "retry-window-s",
 ];
 
-/// Names the platform's own file of settings; ours come as flags and environment variables.
-const PLATFORM_FILE: &str = "TARRAGONHILL_SETTINGS";
+/// Variable that the platform sets; it has the prefix but is not a setting of the daemon.
+const PLATFORM_VARIABLE: &str = "TARRAGONHILL_SETTINGS";
 
-/// Refuses environment variables with our prefix that name no setting: a misspelt one would
-/// otherwise be ignored without a word.
+/// Returns an error for a variable that has the prefix but names no setting, such as a misspelled one.
 pub fn check_environment(names: impl Iterator<Item = String>) -> Result<(), ConfigError> {
     for variable in names {
-        if variable == PLATFORM_FILE {
+        if variable == PLATFORM_VARIABLE {
             continue;
         }
         let Some(rest) = variable.strip_prefix(ENV_PREFIX) else { continue };
         let setting = rest.to_ascii_lowercase().replace('_', "-");
         if !SETTING_NAMES.contains(&setting.as_str()) {
-            return Err(wrong(&setting, format!("environment variable {variable} names no setting")));
+            return Err(invalid(
+                &setting,
+                format!("environment variable {variable} is not the name of a setting"),
+            ));
         }
     }
     Ok(())
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,22 +1,22 @@
-//! Why a daemon does not start.
+//! Errors that prevent a daemon from starting.
 
 use std::{fmt, io};
 
-/// An error at start.
+/// An error while starting a daemon.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address cannot be listened on.
+    /// Listening on an address failed.
     Listen {
-        /// Name of the setting.
+        /// Name of the setting that holds the address.
         setting: &'static str,
         /// The address.
         address: String,
-        /// What the system says.
+        /// The underlying I/O error.
         error: io::Error,
     },
-    /// A thread cannot be started.
+    /// Starting a thread failed.
     Thread(io::Error),
-    /// The gateway does not start.
+    /// Starting the gateway failed.
     Gateway(tarragonhill_gateway::StartError),
 }
 
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway role: passes requests on to the platform's endpoints.
+//! The gateway role: forwards requests to the platform's endpoints.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,28 +12,28 @@
 
 use crate::{StartError, admin, config::GatewaySettings, logging};
 
-/// New connections still come this long after the process has said that it is leaving: the
-/// balancer asks once a second and believes the second answer.
-const LINGER: Duration = Duration::from_millis(2_600);
-/// Kept of the grace for the end itself: flushing logs and ending tasks.
-const END: Duration = Duration::from_millis(300);
-/// Updates of the store that may wait for the control thread.
-const UPDATES: usize = 64;
+/// How long new connections still arrive after the readiness check starts to fail: the load balancer
+/// checks once a second and removes the process after the second failure.
+const DEREGISTRATION_DELAY: Duration = Duration::from_millis(2_600);
+/// Part of the grace period that is reserved for ending tasks and flushing logs.
+const EXIT_RESERVE: Duration = Duration::from_millis(300);
+/// Capacity of the channel from the store watcher to the control thread.
+const UPDATE_CAPACITY: usize = 64;
 
-/// A running gateway with its admin address and its view of the store.
+/// A running gateway with its admin server and store watcher.
 pub struct Process {
     name: Arc<str>,
     gateway: Gateway,
     admin: SocketAddr,
-    answering: JoinHandle<()>,
+    admin_task: JoinHandle<()>,
 }
 
 impl Process {
-    /// Starts a gateway.
+    /// Starts a gateway and returns once it is listening.
     pub async fn start(settings: GatewaySettings, clock: Clock) -> Result<Self, StartError> {
         let registry = Registry::new();
         let common = &settings.common;
-        let (updates, received) = async_channel::bounded(UPDATES);
+        let (updates, received) = async_channel::bounded(UPDATE_CAPACITY);
         let gateway = Settings {
             name: common.name.clone(),
             zone: common.zone.clone(),
@@ -41,13 +41,13 @@
             peer: settings.peer,
             incarnation: rand::random(),
             retries: settings.retries,
-            drain_delay: LINGER,
-            grace: settings.grace.saturating_sub(END),
+            drain_delay: DEREGISTRATION_DELAY,
+            grace: settings.grace.saturating_sub(EXIT_RESERVE),
         };
         let claims = Box::new(Claims::new(common.table));
-        let edge = Store { updates: received, claims };
-        let started = Gateway::start(gateway, clock, Arc::new(Dialect), edge, &registry).await;
-        let gateway = started.map_err(StartError::Gateway)?;
+        let store = Store { updates: received, claims };
+        let result = Gateway::start(gateway, clock, Arc::new(Dialect), store, &registry).await;
+        let gateway = result.map_err(StartError::Gateway)?;
         let own = Member { name: common.name.clone(), address: gateway.peer_address() };
         store::follow(common.table, own, updates);
         let server = Server::bind(&common.admin.to_string(), Limits::default()).await;
@@ -58,44 +58,44 @@
         })?;
         let admin = server.address();
         let admin_state =
-            Admin { status: gateway.status(), dropped: register_dropped_lines(&registry), registry };
-        let answering = task::spawn(server.serve(move |inbound| answer(inbound, admin_state.clone())));
+            Admin { status: gateway.status(), dropped_lines: register_dropped_lines(&registry), registry };
+        let admin_task = task::spawn(server.serve(move |inbound| answer(inbound, admin_state.clone())));
         spdlog::info!("gateway started", kv: {
             name = &*common.name, zone = &*common.zone, listen = gateway.address().to_string().as_str()
         });
-        Ok(Self { name: common.name.clone(), gateway, admin, answering })
+        Ok(Self { name: common.name.clone(), gateway, admin, admin_task })
     }
 
-    /// Where callers reach it.
+    /// Returns the bound address for callers.
     pub fn address(&self) -> SocketAddr {
         self.gateway.address()
     }
 
-    /// Where its metrics, readiness and state are.
+    /// Returns the bound address of the admin server.
     pub fn admin(&self) -> SocketAddr {
         self.admin
     }
 
-    /// Where other entries reach it.
+    /// Returns the bound address for peers.
     pub fn peer(&self) -> SocketAddr {
         self.gateway.peer_address()
     }
 
-    /// Ends at once, as a crash would.
+    /// Cancels all tasks at once, as in a crash.
     pub async fn kill(self) {
         self.gateway.kill().await;
-        self.answering.cancel().await;
+        self.admin_task.cancel().await;
     }
 
-    /// Stops gracefully.
+    /// Drains running requests within the grace period, then stops.
     pub async fn shutdown(self) {
         spdlog::info!("gateway stopping", kv: { name = &*self.name });
         self.gateway.shutdown().await;
-        self.answering.cancel().await;
+        self.admin_task.cancel().await;
     }
 }
 
-/// Runs a gateway until `stop` gives the word.
+/// Runs a gateway until `stop` receives a message or is closed.
 pub async fn run(settings: GatewaySettings, clock: Clock, stop: Receiver<()>) -> Result<(), StartError> {
     let process = Process::start(settings, clock).await?;
     let _ = stop.recv().await;
@@ -103,20 +103,19 @@
     Ok(())
 }
 
-/// What the admin address answers from.
+/// Shared state of the admin handlers.
 #[derive(Clone)]
 struct Admin {
     status: Status,
     registry: Registry,
-    /// Log lines dropped since the start.
-    dropped: IntGauge,
+    dropped_lines: IntGauge,
 }
 
 fn register_dropped_lines(registry: &Registry) -> IntGauge {
     let gauge = IntGauge::new("log_lines_dropped", "Log lines dropped because the queue was full");
     let gauge = gauge.expect("the name is constant and valid");
     if let Err(error) = registry.register(Box::new(gauge.clone())) {
-        spdlog::error!("metric not registered: {error}");
+        spdlog::error!("cannot register the metric log_lines_dropped: {error}");
     }
     gauge
 }
@@ -130,6 +129,6 @@
         return Outbound::json(200, &admin.status.dump().await);
     }
     admin.status.update_metrics().await;
-    admin.dropped.set(i64::try_from(logging::dropped_lines()).unwrap_or(i64::MAX));
+    admin.dropped_lines.set(i64::try_from(logging::dropped_lines()).unwrap_or(i64::MAX));
     admin::answer_common(&inbound, &admin.registry, is_ready).unwrap_or_else(|| admin::not_found(&inbound))
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,9 +1,8 @@
-//! The tarragonhill daemon as a library: the `entry` role on entry hosts and the `agent` role
-//! beside endpoints. The binary only reads settings and waits for signals; the bench starts many
-//! of both in one process.
+//! The tarragonhill daemon as a library: the `entry` and `gateway` roles, which run on entry hosts, and the
+//! `agent` role, which runs next to endpoints. Benchmarks start several of them in one process.
 //!
-//! Each process keeps its decisions on one control thread; connections, streams and timers live on
-//! the traffic threads and talk to it over channels.
+//! In each process, one control thread owns the state that decisions are based on. Connections, streams
+//! and timers run on other threads and communicate with it through channels.
 //!
 //! ```no_run
 //! use tarragonhill_core::Clock;
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,7 +1,7 @@
-//! Logs as JSON lines on standard output, which never hold up the process.
+//! Non-blocking logs: JSON lines on standard output.
 //!
-//! Lines go through a bounded queue to a thread that writes them. Where nobody reads standard
-//! output, the queue fills, and further lines are dropped and counted.
+//! A bounded queue passes lines to a thread that writes them. If standard output is not read, the queue
+//! fills up, and further lines are dropped and counted.
 
 use std::{
     num::NonZeroUsize,
@@ -20,41 +20,41 @@
     sink::{AsyncPoolSink, OverflowPolicy, StdStream, StdStreamSink},
 };
 
-/// Lines that may wait to be written: a second of a busy entry, half a megabyte.
-const QUEUE: usize = 2_048;
+/// Maximum number of queued lines.
+const QUEUE_CAPACITY: usize = 2_048;
 
-/// Longest wait for lines to be written at the end: a full queue takes some milliseconds where somebody
-/// reads, and a stopping process keeps 0.3 s for its end.
-const CLOSE_LIMIT: Duration = Duration::from_millis(200);
+/// Maximum wait for queued lines to be written at shutdown. Below the time that the gateway reserves for its
+/// exit.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// How many lines were dropped since the start.
+/// Returns how many lines have been dropped since the process started.
 pub fn dropped_lines() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// The queue of lines; closing it writes what waits.
-#[must_use = "lines that still wait are lost unless it is closed"]
+/// Queue of lines to be written.
+#[must_use = "queued lines are lost unless the queue is closed"]
 pub struct Queue(Arc<ThreadPool>);
 
-/// Sends all logs to standard output as JSON lines, from `level` up (`off` for none).
+/// Makes the default logger write lines of at least `level` to standard output as JSON.
 pub fn init(level: LevelFilter) -> Result<Queue, spdlog::Error> {
     let out =
         StdStreamSink::builder().std_stream(StdStream::Stdout).formatter(JsonFormatter::new()).build()?;
-    let capacity = NonZeroUsize::new(QUEUE).unwrap_or(NonZeroUsize::MIN);
+    let capacity = NonZeroUsize::new(QUEUE_CAPACITY).unwrap_or(NonZeroUsize::MIN);
     let pool = ThreadPool::builder().capacity(capacity).build_arc()?;
     let sink = AsyncPoolSink::builder()
         .sink(Arc::new(out))
         .overflow_policy(OverflowPolicy::DropIncoming)
         .thread_pool(pool.clone())
         .build()?;
-    // A line that finds the queue full is an error of the logger, not of the sink.
+    // A full queue is reported to the error handler of the logger, not to that of the sink.
     let logger = Logger::builder()
         .sink(Arc::new(sink))
         .level_filter(level)
         .error_handler(|_| {
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         })
         .build()?;
     spdlog::set_default_logger(Arc::new(logger));
@@ -62,29 +62,29 @@
 }
 
 impl Queue {
-    /// Writes the lines that wait, and stops logging. Gives the rest up after a while: where nobody
-    /// reads standard output, the thread that writes hangs for ever, and the process would with it.
+    /// Stops logging and writes the queued lines. Gives up after a timeout, because the writing thread
+    /// blocks forever if standard output is not read.
     pub fn close(self) {
         let (done, closed) = mpsc::channel();
-        let closing = thread::Builder::new().name("logs".into()).spawn(move || {
+        let spawned = thread::Builder::new().name("logs".into()).spawn(move || {
             match Logger::builder().build() {
                 Ok(silent) => drop(spdlog::swap_default_logger(Arc::new(silent))),
-                Err(error) => eprintln!("logs not closed: {error}"),
+                Err(error) => eprintln!("cannot stop logging: {error}"),
             }
-            // The last handle on the pool waits for its thread.
+            // Dropping the last handle to the pool waits for its thread.
             drop(self.0);
-            // Fails only when nobody waits any more.
+            // Fails only if the timeout has passed and the receiver is gone.
             let _ = done.send(());
         });
-        if let Err(error) = closing {
-            eprintln!("logs not closed: {error}");
+        if let Err(error) = spawned {
+            eprintln!("cannot start the thread that closes the logs: {error}");
         }
-        // Ends early when the thread could not start, and late when it hangs.
-        let _ = closed.recv_timeout(CLOSE_LIMIT);
+        // Returns at once if the thread could not be started, because the sender is gone.
+        let _ = closed.recv_timeout(CLOSE_TIMEOUT);
     }
 }
 
-/// Reads a level by name.
+/// Parses the name of a log level.
 pub fn parse_level(name: &str) -> Option<LevelFilter> {
     use spdlog::Level;
     match name {
@@ -97,7 +97,7 @@
     }
 }
 
-/// The level that logs nothing.
+/// Returns the level that logs nothing.
 pub fn off() -> LevelFilter {
     LevelFilter::Off
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon's binary: reads settings, starts the role, waits for signals.
+//! The `tarragonhilld` binary: reads the settings, starts the selected role and stops it on a signal.
 
 use std::{env, process::ExitCode, time::Duration};
 
@@ -15,8 +15,8 @@
     gateway, logging,
 };
 
-/// Exit code for settings that cannot be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for invalid settings.
+const INVALID_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
     let options = config::options().run();
@@ -27,7 +27,7 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("tarragonhilld: {error}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(INVALID_SETTINGS);
         }
     };
     if check {
@@ -37,13 +37,13 @@
     let logs = match logging::init(settings.common().log) {
         Ok(logs) => logs,
         Err(error) => {
-            eprintln!("tarragonhilld: logs cannot be set up: {error}");
+            eprintln!("tarragonhilld: cannot initialize logging: {error}");
             return ExitCode::FAILURE;
         }
     };
-    let ended = task::block_on(run(settings));
+    let result = task::block_on(run(settings));
     logs.close();
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("tarragonhilld: {error}");
@@ -70,21 +70,22 @@
     Ok(())
 }
 
-/// Completes at the first SIGTERM or SIGINT; the second ends the process at once.
+/// Returns a channel that receives a message at the first SIGTERM or SIGINT. A second signal exits the
+/// process without a graceful shutdown.
 fn signals() -> std::io::Result<async_channel::Receiver<()>> {
     let (sender, receiver) = async_channel::bounded(1);
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     std::thread::Builder::new().name("signals".into()).spawn(move || {
-        let mut stops = 0;
+        let mut stop_signals = 0;
         for signal in signals.forever() {
             if signal == SIGHUP {
-                // Flags and variables of a process never change; a new file takes a new start.
-                spdlog::info!("reload asked for; settings are read at the start only");
+                // Flags and environment variables cannot change while the process runs.
+                spdlog::info!("ignoring SIGHUP: settings are read only at startup");
                 continue;
             }
-            stops += 1;
-            if stops > 1 {
-                // Nothing but the last log lines is worth waiting for.
+            stop_signals += 1;
+            if stop_signals > 1 {
+                // Lets the log thread write its last lines.
                 std::thread::sleep(Duration::from_millis(1));
                 std::process::exit(1);
             }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! Keeps the process's settings in step with the table.
+//! Settings in force in this process, kept up to date with the table.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -19,7 +19,7 @@
 pub(crate) struct Current {
     clock: Clock,
     inner: Mutex<Inner>,
-    changed: (Sender<()>, Receiver<()>),
+    refresh_requests: (Sender<()>, Receiver<()>),
 }
 
 #[derive(Debug, Default)]
@@ -27,36 +27,36 @@
     snapshot: Arc<Snapshot>,
     freshness: Freshness,
     /// Table version up to which rows have been read.
-    read: u64,
+    read_version: u64,
 }
 
 impl Current {
     pub(crate) fn new(clock: Clock) -> Self {
-        Self { clock, inner: Mutex::default(), changed: async_channel::bounded(1) }
+        Self { clock, inner: Mutex::default(), refresh_requests: async_channel::bounded(1) }
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The settings in force now.
+    /// Returns the settings in force.
     pub(crate) fn get(&self) -> Arc<Snapshot> {
         self.lock().snapshot.clone()
     }
 
-    /// Runs `look` on what is known of the settings' age.
-    pub(crate) fn freshness<T>(&self, look: impl FnOnce(&mut Freshness) -> T) -> T {
-        look(&mut self.lock().freshness)
+    /// Calls `access` with the freshness of the settings, under the lock.
+    pub(crate) fn freshness<T>(&self, access: impl FnOnce(&mut Freshness) -> T) -> T {
+        access(&mut self.lock().freshness)
     }
 
-    /// A heartbeat that says which version is in force and how old that is.
+    /// Returns a heartbeat with the version and the age of the settings in force.
     pub(crate) fn heartbeat(&self) -> Heartbeat {
         let inner = self.lock();
         let age = inner.freshness.age(self.clock.now());
         Heartbeat { version: inner.snapshot.version, age, ..Heartbeat::default() }
     }
 
-    /// Takes a peer's heartbeat, and asks the table if the peer has newer settings.
+    /// Records a peer's heartbeat, and requests a refresh if the peer has newer settings.
     pub(crate) fn record_heartbeat(&self, peer: &Arc<str>, heartbeat: &Heartbeat) {
         let now = self.clock.now();
         self.freshness(|freshness| freshness.record_heartbeat(now, peer, heartbeat));
@@ -65,76 +65,78 @@
         }
     }
 
-    /// Asks for a read of the table soon, because someone has seen a newer version.
+    /// Makes [`Self::follow`] read the table without waiting for the next poll.
     pub(crate) fn request_refresh(&self) {
-        let _ = self.changed.0.try_send(());
+        let _ = self.refresh_requests.0.try_send(());
     }
 
-    /// Polls the table for ever and calls `adopted` with each new snapshot, whoever read it.
+    /// Polls the table forever and calls `on_change` with each new snapshot, including those that other
+    /// calls of [`Self::refresh`] have read.
     ///
-    /// With `trust`, polls are left out while heartbeats vouch that the settings in force are no
-    /// older: hundreds of agents then read the table only when there is something to read.
+    /// With `max_unpolled_age`, polls are skipped while heartbeats confirm that the settings are at most
+    /// that old. This limits the load of many agents on the table.
     pub(crate) async fn follow(
         &self,
         table: &dyn Table,
         poll: Duration,
-        trust: Option<Duration>,
-        adopted: impl Fn(Arc<Snapshot>),
+        max_unpolled_age: Option<Duration>,
+        on_change: impl Fn(Arc<Snapshot>),
     ) {
-        let mut seen = 0;
-        let mut nudged = true;
+        let mut last_version = 0;
+        let mut refresh_requested = true;
         loop {
             let age = self.freshness(|freshness| freshness.age(self.clock.now()));
-            let vouched = trust.is_some_and(|trust| age <= trust);
-            if (nudged || !vouched)
+            let is_confirmed = max_unpolled_age.is_some_and(|max_age| age <= max_age);
+            if (refresh_requested || !is_confirmed)
                 && let Err(error) = self.refresh(table).await
             {
-                spdlog::debug!("settings not read: {error}");
+                spdlog::debug!("cannot read settings from the table: {error}");
             }
             let snapshot = self.get();
-            if snapshot.version > seen {
-                seen = snapshot.version;
-                adopted(snapshot);
+            if snapshot.version > last_version {
+                last_version = snapshot.version;
+                on_change(snapshot);
             }
-            nudged = async_std::future::timeout(poll, self.changed.1.recv()).await.is_ok();
+            refresh_requested =
+                async_std::future::timeout(poll, self.refresh_requests.1.recv()).await.is_ok();
         }
     }
 
-    /// Reads what has changed and puts it in force.
+    /// Reads the rows that have changed and applies them.
     pub(crate) async fn refresh(&self, table: &dyn Table) -> Result<(), TableError> {
-        let began = self.clock.now();
-        let after = self.lock().read;
+        let started_at = self.clock.now();
+        let after = self.lock().read_version;
         let rows = table.list(settings::PREFIX, after).await?;
-        self.adopt(began, rows);
+        self.apply(started_at, rows);
         Ok(())
     }
 
-    fn adopt(&self, began: Time, rows: Rows) {
-        let parsed: Vec<Row> = rows.rows.iter().filter_map(parse).collect();
+    fn apply(&self, started_at: Time, rows: Rows) {
+        let parsed: Vec<Row> = rows.rows.iter().filter_map(parse_row).collect();
         let version = parsed.iter().find_map(|row| match row {
             Row::Version(version) => Some(*version),
             Row::Customer(..) | Row::Key(..) | Row::Endpoint(..) => None,
         });
         let mut inner = self.lock();
-        // A listing that was overtaken by another must not count: its rows are older.
-        if rows.version < inner.read {
+        // A concurrent call may have applied a newer listing already.
+        if rows.version < inner.read_version {
             return;
         }
-        inner.read = rows.version;
+        inner.read_version = rows.version;
         let next = version.and_then(|version| inner.snapshot.apply(version, &parsed)).map(Arc::new);
         if let Some(next) = &next {
             inner.snapshot = next.clone();
         }
         let version = inner.snapshot.version;
-        inner.freshness.record_read(began, version);
+        inner.freshness.record_read(started_at, version);
     }
 }
 
-fn parse(row: &tarragonhill_table::Row) -> Option<Row> {
+fn parse_row(row: &tarragonhill_table::Row) -> Option<Row> {
     match Row::parse(&row.key, row.value.as_ref()) {
         Ok(row) => Some(row),
         Err(error) => {
-            spdlog::error!("settings row ignored: {error}");
+            spdlog::error!("ignoring invalid settings row: {error}");
             None
         }
     }
--- a/crates/daemon/tests/config.rs
+++ b/crates/daemon/tests/config.rs
@@ -1,4 +1,4 @@
-//! Settings are checked at start, and what is wrong is told by name.
+//! Validation of the daemon's settings, and its error messages.
 
 use tarragonhill_daemon::config::{self, ConfigError, SETTING_NAMES, Settings};
 
@@ -18,14 +18,14 @@
     "127.0.0.1:0",
 ];
 
-fn parse(more: &[&str]) -> Result<Settings, ConfigError> {
-    let arguments: Vec<&str> = ENTRY.iter().chain(more).copied().collect();
+fn parse(extra: &[&str]) -> Result<Settings, ConfigError> {
+    let arguments: Vec<&str> = ENTRY.iter().chain(extra).copied().collect();
     let options = config::options().run_inner(arguments.as_slice()).expect("the flags are known");
     Settings::try_from(options)
 }
 
-fn problem(more: &[&str]) -> String {
-    parse(more).expect_err("refused").to_string()
+fn problem(extra: &[&str]) -> String {
+    parse(extra).expect_err("refused").to_string()
 }
 
 #[test]
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn each_bad_value_is_told_by_its_setting() {
+fn error_for_invalid_value_names_the_setting() {
     for (flag, value) in [
         ("--hosts", "nowhere"),
         ("--first-token-ms", "0"),
@@ -58,9 +58,9 @@
     assert!(config::options().run_inner(arguments.as_slice()).is_err());
 }
 
-/// `TARRAGONHILL_POLICI=...` would be ignored without a word, and the daemon run with the default.
+/// Otherwise the daemon would silently run with the default of the misspelled setting.
 #[test]
-fn misspelt_environment_variable_is_refused_by_name() {
+fn misspelled_environment_variable_is_refused_by_name() {
     let error =
         config::check_environment(["TARRAGONHILL_POLICI".to_owned()].into_iter()).expect_err("refused");
     assert!(error.to_string().contains("TARRAGONHILL_POLICI"));
@@ -69,7 +69,7 @@
     assert_eq!(config::check_environment(known), Ok(()));
 }
 
-/// The reference page lists every setting, and no others, with the defaults in force.
+/// The settings reference lists exactly the existing settings, with their actual defaults.
 #[test]
 fn reference_page_matches_the_code() {
     let page = include_str!("../../../docs/settings.md");
@@ -87,8 +87,8 @@
         if !cells[2].is_empty() {
             let (_, rest) =
                 help.rsplit_once(&format!("--{}=", cells[1].trim_matches('`'))).expect("in the help");
-            let own = rest.split("[default: ").nth(1).and_then(|rest| rest.split(']').next());
-            assert_eq!(own, Some(cells[2]), "{}", cells[1]);
+            let default = rest.split("[default: ").nth(1).and_then(|rest| rest.split(']').next());
+            assert_eq!(default, Some(cells[2]), "{}", cells[1]);
         }
     }
 }
