--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,4 +1,7 @@
-//! Client of the operators' API: plan, confirm, resolve, show, dump.
+//! Client of the operators' API on the admin address of an entry, and analysis of the daemons' logs.
+//!
+//! Settings are changed in two steps: [`Client::plan`] computes the changes and [`Client::confirm`] applies
+//! them.
 //!
 //! ```no_run
 //! use tarragonhill_core::plan::Intent;
@@ -22,24 +25,24 @@
 use tarragonhill_core::plan::{Intent, Plan};
 use tarragonhill_http::client::{Call, Error, Pool};
 
-/// Longest wait for an entry's answer; above the entry's own wait for the table.
+/// Timeout of a request. Longer than the entry's own timeout for the table.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Random bytes of a key.
+/// Number of random bytes in a key.
 const KEY_BYTES: usize = 32;
 
-/// Why an operator's request failed.
+/// Failure of an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorError {
-    /// The entry could not be asked.
+    /// The HTTP request failed.
     Http(Error),
-    /// The entry refused; code and message are its own.
+    /// The entry refused the request.
     Refused {
-        /// Stable code.
+        /// Stable refusal code.
         code: String,
-        /// For people.
+        /// Human-readable reason.
         message: String,
     },
-    /// No randomness for a key.
+    /// The system's random number generator failed.
     Random,
 }
 
@@ -48,7 +51,7 @@
         match self {
             Self::Http(error) => write!(f, "{error}"),
             Self::Refused { code, message } => write!(f, "{code}: {message}"),
-            Self::Random => f.write_str("the system gives no random numbers"),
+            Self::Random => f.write_str("the system's random number generator failed"),
         }
     }
 }
@@ -61,16 +64,16 @@
     }
 }
 
-/// A plan with the digest that confirms it.
+/// A plan with its digest.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Planned {
-    /// What the entry worked out.
+    /// The plan, as the entry computed it.
     pub plan: Plan,
-    /// To be sent with the confirm.
+    /// Digest of the plan, which the entry verifies when the plan is confirmed.
     pub digest: String,
 }
 
-/// Talks to the admin address of one entry.
+/// Client of one entry's admin address.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
@@ -79,12 +82,12 @@
 }
 
 impl Client {
-    /// A client of the admin address given.
+    /// Creates a client. `token` is needed if the entry requires an operator token.
     pub fn new(address: SocketAddr, token: Option<String>) -> Self {
         Self { address, token, pool: Pool::default() }
     }
 
-    async fn ask(&self, call: Call) -> Result<Value, OperatorError> {
+    async fn send(&self, call: Call) -> Result<Value, OperatorError> {
         let call = match &self.token {
             Some(token) => call.header("authorization", format!("Bearer {token}")),
             None => call,
@@ -99,35 +102,35 @@
         Err(OperatorError::Refused { code: text("code"), message: text("message") })
     }
 
-    /// Works an intent out; nothing changes.
+    /// Computes the changes that an intent makes, without applying them.
     pub async fn plan(&self, intent: &Intent) -> Result<Planned, OperatorError> {
-        let body = self.ask(Call::post("/plan", intent)).await?;
+        let body = self.send(Call::post("/plan", intent)).await?;
         serde_json::from_value(body).map_err(|error| Error::Unexpected(error.to_string()).into())
     }
 
-    /// Puts a plan in force; the settings version it made.
+    /// Applies a plan; returns the resulting settings version.
     pub async fn confirm(&self, planned: &Planned) -> Result<u64, OperatorError> {
-        let body = self.ask(Call::post("/confirm", planned)).await?;
+        let body = self.send(Call::post("/confirm", planned)).await?;
         Ok(body["version"].as_u64().unwrap_or(0))
     }
 
-    /// Tells what became of a plan whose confirm had no answer.
+    /// Returns the outcome of a plan whose confirmation got no response. An unconfirmed plan is invalidated.
     pub async fn resolve(&self, plan: &str) -> Result<Value, OperatorError> {
-        self.ask(Call::get(format!("/plans/{plan}"))).await
+        self.send(Call::get(format!("/plans/{plan}"))).await
     }
 
-    /// The settings in force at the entry.
+    /// Returns the settings in force at the entry.
     pub async fn settings(&self) -> Result<Value, OperatorError> {
-        self.ask(Call::get("/settings")).await
+        self.send(Call::get("/settings")).await
     }
 
-    /// The state of a daemon.
+    /// Returns the internal state of the daemon.
     pub async fn dump(&self) -> Result<Value, OperatorError> {
-        self.ask(Call::get("/dump")).await
+        self.send(Call::get("/dump")).await
     }
 }
 
-/// A new random key; only its digest ever leaves the operator's machine.
+/// Returns a new random key. Only its digest is sent to an entry.
 pub fn new_key() -> Result<String, OperatorError> {
     let mut bytes = [0; KEY_BYTES];
     getrandom::fill(&mut bytes).map_err(|_| OperatorError::Random)?;
--- a/crates/operator/src/log.rs
+++ b/crates/operator/src/log.rs
@@ -1,24 +1,24 @@
-//! Reads the daemons' logs: the story of one request, and failures by cause.
+//! Analysis of the daemons' logs: the timeline of one request, and failures by cause.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use serde::Deserialize;
 use serde_json::{Map, Value};
 
-/// Lines about an endpoint or a process belong to a request's story this long before its first and behind
-/// its last line: a crashed endpoint's entry lapses within some 4 s.
-const AROUND_MS: u64 = 5_000;
+/// A timeline includes related lines from this long before the first to this long after the last line of the
+/// request. Longer than the time until the lease of a crashed endpoint expires.
+const CONTEXT_MS: u64 = 5_000;
 
-/// One line of a daemon's log.
+/// A line of a daemon's log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// Where it comes from: a file, or what a collector wrote before the line.
+    /// Origin of the line: the file name, or the prefix that a log collector has added.
     pub source: Arc<str>,
-    /// Milliseconds since 1970 by the host's time of day, which may jump.
-    pub at: u64,
-    /// What happened.
+    /// Milliseconds since the Unix epoch by the host's wall clock, which may jump.
+    pub at_ms: u64,
+    /// Log payload.
     pub event: String,
-    /// What decided it.
+    /// Structured fields of the line.
     pub fields: Map<String, Value>,
 }
 
@@ -31,21 +31,21 @@
 }
 
 impl Line {
-    /// Reads a line; nothing if it holds no JSON of a daemon. Text before the JSON, as collectors put
-    /// it there, goes before `source`.
+    /// Parses a line; returns `None` if it contains no JSON of a daemon. The last word before the JSON, if
+    /// any, replaces `source`.
     pub fn parse(source: &Arc<str>, text: &str) -> Option<Self> {
-        let (before, json) = text.split_at(text.find('{')?);
+        let (prefix, json) = text.split_at(text.find('{')?);
         let line: WireLine = serde_json::from_str(json).ok()?;
-        let before = before.split_whitespace().last();
-        let source = before.map_or_else(|| source.clone(), Arc::from);
-        Some(Self { source, at: line.timestamp, event: line.payload, fields: line.kv })
+        let prefix = prefix.split_whitespace().last();
+        let source = prefix.map_or_else(|| source.clone(), Arc::from);
+        Some(Self { source, at_ms: line.timestamp, event: line.payload, fields: line.kv })
     }
 
     fn field(&self, name: &str) -> Option<&str> {
         self.fields.get(name).and_then(Value::as_str)
     }
 
-    /// The line for people: source, event and fields.
+    /// Formats source, event and fields for display.
     pub fn describe(&self) -> String {
         let fields = self.fields.iter().filter(|(name, _)| *name != "request");
         let fields: Vec<String> = fields.map(|(name, value)| format!("{name}={value}")).collect();
@@ -53,40 +53,40 @@
     }
 }
 
-/// The lines that tell what became of a request, by time: its own, those of the endpoints that it was
-/// given to, and those of the processes that had it.
-pub fn story<'a>(lines: &'a [Line], request: &str) -> Vec<&'a Line> {
+/// Returns the lines related to a request, by time: lines that name the request, and at about the same time,
+/// lines about its endpoints and general lines of the processes that handled it.
+pub fn timeline<'a>(lines: &'a [Line], request: &str) -> Vec<&'a Line> {
     let own: Vec<&Line> = lines.iter().filter(|line| line.field("request") == Some(request)).collect();
     let (Some(first), Some(last)) =
-        (own.iter().map(|line| line.at).min(), own.iter().map(|line| line.at).max())
+        (own.iter().map(|line| line.at_ms).min(), own.iter().map(|line| line.at_ms).max())
     else {
         return Vec::new();
     };
-    let around = first.saturating_sub(AROUND_MS)..=last + AROUND_MS;
+    let window = first.saturating_sub(CONTEXT_MS)..=last + CONTEXT_MS;
     let endpoints: Vec<&str> =
         own.iter().flat_map(|line| [line.field("endpoint"), line.field("reader")]).flatten().collect();
-    let is_of_it = |line: &Line| {
+    let is_related = |line: &Line| {
         line.field("endpoint").is_some_and(|endpoint| endpoints.contains(&endpoint))
-            || own.iter().any(|of| of.source == line.source) && line.field("endpoint").is_none()
+            || own.iter().any(|own_line| own_line.source == line.source) && line.field("endpoint").is_none()
     };
-    let beside = lines
+    let related = lines
         .iter()
-        .filter(|line| line.field("request").is_none() && around.contains(&line.at) && is_of_it(line));
-    let mut story: Vec<&Line> = own.iter().copied().chain(beside).collect();
-    story.sort_by_key(|line| line.at);
-    story
+        .filter(|line| line.field("request").is_none() && window.contains(&line.at_ms) && is_related(line));
+    let mut timeline: Vec<&Line> = own.iter().copied().chain(related).collect();
+    timeline.sort_by_key(|line| line.at_ms);
+    timeline
 }
 
-/// Failures of one kind.
+/// Failures with the same cause.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Failures {
-    /// How many.
+    /// Number of failures.
     pub count: usize,
-    /// One of the requests.
+    /// Identifier of one of the failed requests.
     pub example: String,
 }
 
-/// Failed requests by event and reason, names and numbers left out of the reasons.
+/// Groups failed requests by cause. Words with digits in a reason are masked.
 pub fn failures(lines: &[Line]) -> BTreeMap<String, Failures> {
     let mut causes: BTreeMap<String, Failures> = BTreeMap::new();
     for line in lines {
@@ -105,18 +105,19 @@
     match line.event.as_str() {
         "request refused" => Some(format!("refused, {}: {reason}", line.field("code").unwrap_or("?"))),
         "stream cut" => Some(format!("cut: {reason}")),
-        "request ended" if is_failure(line) => Some("the endpoint's own failure".into()),
+        "request ended" if is_endpoint_failure(line) => Some("the endpoint's own failure".into()),
         _ => None,
     }
 }
 
-/// An endpoint's failure that was passed on; what the daemon refused or cut has a line of its own.
-fn is_failure(line: &Line) -> bool {
+/// Returns whether the line reports a failure response of an endpoint. Refused requests and cut streams have
+/// lines of their own.
+fn is_endpoint_failure(line: &Line) -> bool {
     let status = line.fields.get("status").and_then(Value::as_u64).unwrap_or(0);
     status == 500
 }
 
-/// A reason without what differs from one request to the next: words with digits in them.
+/// Masks the words that contain digits, because they differ between requests.
 fn mask(reason: &str) -> String {
     let words = reason.split(' ').map(|word| {
         let has_digit = word.bytes().any(|byte| byte.is_ascii_digit());
--- a/crates/operator/tests/log.rs
+++ b/crates/operator/tests/log.rs
@@ -1,14 +1,14 @@
-//! Stories of requests and causes of failures, from lines as the daemons write them.
+//! Timelines of requests and causes of failures, from lines in the daemons' log format.
 
 use std::sync::Arc;
 
-use tarragonhill_operator::log::{Line, failures, story};
+use tarragonhill_operator::log::{Line, failures, timeline};
 
 const FIRST: &str = r#"
 {"level":"info","timestamp":1000,"payload":"request admitted","kv":{"request":"r1","customer":"faculty"},"tid":1}
 {"level":"info","timestamp":1001,"payload":"request placed","kv":{"request":"r1","endpoint":"i-1","reader":"i-2"},"tid":1}
 {"level":"info","timestamp":1001,"payload":"request placed","kv":{"request":"r2","endpoint":"i-3","reader":"i-2"},"tid":1}
-not a line of ours
+not a daemon log line
 {"level":"warn","timestamp":3000,"payload":"stream cut","kv":{"request":"r1","reason":"i-1: connection broke"},"tid":1}
 {"level":"warn","timestamp":3001,"payload":"stream cut","kv":{"request":"r2","reason":"i-3: connection broke"},"tid":1}
 {"level":"info","timestamp":3002,"payload":"request ended","kv":{"request":"r1","status":200,"whole":false},"tid":1}
@@ -33,10 +33,10 @@
 }
 
 #[test]
-fn a_story_holds_the_request_and_what_happened_to_its_endpoints() {
+fn timeline_contains_the_request_and_the_events_of_its_endpoints() {
     let lines = lines();
-    let told: Vec<(u64, &str)> =
-        story(&lines, "r1").iter().map(|line| (line.at, line.event.as_str())).collect();
+    let events: Vec<(u64, &str)> =
+        timeline(&lines, "r1").iter().map(|line| (line.at_ms, line.event.as_str())).collect();
     let expected = [
         (50, "endpoint"),
         (1_000, "request admitted"),
@@ -45,12 +45,12 @@
         (3_000, "stream cut"),
         (3_002, "request ended"),
     ];
-    assert_eq!(told, expected);
-    assert!(story(&lines, "nobody").is_empty());
+    assert_eq!(events, expected);
+    assert!(timeline(&lines, "unknown").is_empty());
 }
 
 #[test]
-fn failures_of_one_kind_are_counted_together() {
+fn failures_with_the_same_cause_are_counted_together() {
     let failures = failures(&lines());
     let counts: Vec<(&str, usize, &str)> = failures
         .iter()
@@ -60,9 +60,9 @@
 }
 
 #[test]
-fn what_a_collector_writes_before_a_line_is_its_source() {
+fn prefix_of_a_log_collector_becomes_the_source() {
     let text = r#"   3.0 front-a-1 {"timestamp":1,"payload":"gateway started","kv":{}}"#;
-    let line = Line::parse(&"file".into(), text).expect("a line");
+    let line = Line::parse(&"file".into(), text).expect("a valid line");
     assert_eq!((&*line.source, line.event.as_str()), ("front-a-1", "gateway started"));
-    assert_eq!(Line::parse(&"file".into(), "{torn"), None);
+    assert_eq!(Line::parse(&"file".into(), "{truncated"), None);
 }
--- a/src/cmd.rs
+++ b/src/cmd.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one module each with its parser and its `execute`.
+//! Subcommands. Each module contains a parser and an `execute` function.
 
 pub(crate) mod confirm;
 pub(crate) mod dump;
@@ -14,7 +14,7 @@
 use serde_json::Value;
 use tarragonhill_operator::{Client, OperatorError, log::Line};
 
-/// One invocation.
+/// A parsed invocation.
 #[derive(Clone, Debug)]
 pub(crate) enum Command {
     Plan(plan::Options),
@@ -27,7 +27,7 @@
 }
 
 impl Command {
-    /// Carries the invocation out.
+    /// Runs the subcommand.
     pub(crate) async fn execute(self) -> Result<(), CommandError> {
         match self {
             Self::Plan(options) => plan::execute(options).await,
@@ -41,13 +41,13 @@
     }
 }
 
-/// Why a subcommand failed.
+/// Failure of a subcommand.
 #[derive(Debug)]
 pub(crate) enum CommandError {
     Operator(OperatorError),
     File(PathBuf, io::Error),
     NotAPlan(PathBuf, serde_json::Error),
-    NoStory(String),
+    NotFound(String),
 }
 
 impl fmt::Display for CommandError {
@@ -55,8 +55,8 @@
         match self {
             Self::Operator(error) => write!(f, "{error}"),
             Self::File(path, error) => write!(f, "{}: {error}", path.display()),
-            Self::NotAPlan(path, error) => write!(f, "{} is not a plan: {error}", path.display()),
-            Self::NoStory(request) => write!(f, "no line names the request {request}"),
+            Self::NotAPlan(path, error) => write!(f, "{} is not a valid plan: {error}", path.display()),
+            Self::NotFound(request) => write!(f, "no log line names the request {request}"),
         }
     }
 }
@@ -69,7 +69,7 @@
     }
 }
 
-/// Which entry to talk to.
+/// The entry to which requests are sent.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     address: SocketAddr,
@@ -77,7 +77,7 @@
 }
 
 impl Entry {
-    /// Parser of the flags that all subcommands share.
+    /// Returns the parser of the flags that the subcommands for an entry share.
     pub(crate) fn parser() -> impl Parser<Self> {
         let address = long("entry")
             .env("TARRAGONHILL_ENTRY")
@@ -91,21 +91,21 @@
     }
 }
 
-/// Parser of the operator's token.
+/// Returns the parser of the operator token.
 pub(crate) fn token() -> impl Parser<Option<String>> {
     long("token")
         .env("TARRAGONHILL_OPERATOR_TOKEN")
-        .help("Operator token, if the entry asks for one")
+        .help("Operator token, if the entry requires one")
         .argument::<String>("TOKEN")
         .optional()
 }
 
-/// Prints a value for people and scripts alike.
+/// Prints a value as indented JSON.
 pub(crate) fn print(value: &Value) {
     println!("{value:#}");
 }
 
-/// Reads the lines of logs; what is no line of a daemon is passed over.
+/// Reads log files, ignoring lines that no daemon has written.
 pub(crate) fn read_logs(files: &[PathBuf]) -> Result<Vec<Line>, CommandError> {
     let mut lines = Vec::new();
     for file in files {
--- a/src/cmd/confirm.rs
+++ b/src/cmd/confirm.rs
@@ -1,4 +1,4 @@
-//! `confirm`: put a plan in force.
+//! `confirm`: applies a plan.
 
 use std::{fs, path::PathBuf};
 
@@ -15,9 +15,9 @@
 
 pub(crate) fn command() -> impl Parser<Command> {
     let entry = Entry::parser();
-    let file = positional::<PathBuf>("FILE").help("The plan, as `plan` wrote it");
+    let file = positional::<PathBuf>("FILE").help("File written by `plan`");
     let options = construct!(Options { entry, file }).map(Command::Confirm);
-    options.to_options().descr("Put a plan in force").command("confirm")
+    options.to_options().descr("Apply a plan").command("confirm")
 }
 
 pub(crate) async fn execute(options: Options) -> Result<(), CommandError> {
@@ -25,10 +25,10 @@
     let bytes = fs::read(&path).map_err(|error| CommandError::File(path.clone(), error))?;
     let planned: Planned =
         serde_json::from_slice(&bytes).map_err(|error| CommandError::NotAPlan(path, error))?;
-    let confirmed = options.entry.client().confirm(&planned).await;
-    if confirmed.is_err() {
-        eprintln!("to learn what became of it: tarragonhill resolve {}", planned.plan.id);
+    let result = options.entry.client().confirm(&planned).await;
+    if result.is_err() {
+        eprintln!("to check whether the plan was applied: tarragonhill resolve {}", planned.plan.id);
     }
-    println!("confirmed; settings version {} is in force at this entry", confirmed?);
+    println!("confirmed; settings version {} is in force at this entry", result?);
     Ok(())
 }
--- a/src/cmd/dump.rs
+++ b/src/cmd/dump.rs
@@ -1,4 +1,4 @@
-//! `dump`: the state of a daemon.
+//! `dump`: prints the state of a daemon.
 
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
     let token = token();
     let address = positional::<SocketAddr>("ADDR").help("Admin address of an entry or agent");
     let options = construct!(Options { token, address }).map(Command::Dump);
-    options.to_options().descr("Dump the state of a daemon as JSON").command("dump")
+    options.to_options().descr("Print the state of a daemon as JSON").command("dump")
 }
 
 pub(crate) async fn execute(options: Options) -> Result<(), CommandError> {
--- a/src/cmd/failures.rs
+++ b/src/cmd/failures.rs
@@ -1,4 +1,4 @@
-//! `failures`: failed requests by cause, from the daemons' logs.
+//! `failures`: counts failed requests by cause, from the daemons' logs.
 
 use std::path::PathBuf;
 
@@ -13,7 +13,9 @@
 }
 
 pub(crate) fn command() -> impl Parser<Command> {
-    let files = positional("LOG").help("Logs of the daemons, in any order").some("name at least one log");
+    let files = positional("LOG")
+        .help("Log files of the daemons, in any order")
+        .some("specify at least one log file");
     let options = construct!(Options { files }).map(Command::Failures);
     options.to_options().descr("Count failed requests by cause, from the daemons' logs").command("failures")
 }
--- a/src/cmd/plan.rs
+++ b/src/cmd/plan.rs
@@ -1,4 +1,4 @@
-//! `plan`: work out what a change would do, without doing it.
+//! `plan`: computes the effects of a change without applying it.
 
 use std::{fs, path::PathBuf, sync::Arc};
 
@@ -15,12 +15,12 @@
 pub(crate) struct Options {
     entry: Entry,
     out: PathBuf,
-    wish: Wish,
+    operation: Operation,
 }
 
-/// What the operator asks for; a key is made here, so that it never leaves this machine.
+/// Requested operation. A new key is generated locally, so that only its digest is sent.
 #[derive(Clone, Debug)]
-enum Wish {
+enum Operation {
     Intent(Intent),
     GiveKey { customer: String, id: String },
 }
@@ -28,23 +28,23 @@
 pub(crate) fn command() -> impl Parser<Command> {
     let entry = Entry::parser();
     let out = long("out")
-        .help("Where to write the plan [default: plan.json]")
+        .help("File to write the plan to [default: plan.json]")
         .argument::<PathBuf>("FILE")
         .fallback("plan.json".into());
-    let wish = wish();
-    let options = construct!(Options { entry, out, wish }).map(Command::Plan);
-    options.to_options().descr("Work out what a change would do").command("plan")
+    let operation = operation();
+    let options = construct!(Options { entry, out, operation }).map(Command::Plan);
+    options.to_options().descr("Compute the effects of a change without applying it").command("plan")
 }
 
-fn wish() -> impl Parser<Wish> {
+fn operation() -> impl Parser<Operation> {
     let customer = customer();
     let remove_customer = remove_customer();
     let give_key = give_key();
     let withdraw_key = withdraw_key();
     let endpoint = endpoint();
     let remove_endpoint = remove_endpoint();
-    let drain = host("drain", "Let no new work onto an endpoint host", |host| Intent::DrainHost { host });
-    let resume = host("resume", "Let work onto a drained host again", |host| Intent::ResumeHost { host });
+    let drain = host("drain", "Stop placing new work on an endpoint host", |host| Intent::DrainHost { host });
+    let resume = host("resume", "Resume placing work on a drained host", |host| Intent::ResumeHost { host });
     let serve = serve();
     construct!([
         customer,
@@ -67,47 +67,48 @@
     long(flag).help(help).argument::<u64>("N")
 }
 
-fn customer() -> impl Parser<Wish> {
-    let rate = number("rate", "Tokens a second over the whole fleet");
-    let burst = number("burst", "Most tokens at once");
-    let weight = long("weight").help("Share on contended endpoints").argument::<u32>("N").fallback(1);
+fn customer() -> impl Parser<Operation> {
+    let rate = number("rate", "Token rate over the whole fleet, tokens per second");
+    let burst = number("burst", "Maximum burst, tokens");
+    let weight =
+        long("weight").help("Weight in sharing contended endpoints").argument::<u32>("N").fallback(1);
     let name = name("The customer");
     construct!(Intent::PutCustomer { rate, burst, weight, name })
-        .map(Wish::Intent)
+        .map(Operation::Intent)
         .to_options()
         .descr("Create a customer or change its rate, burst or weight")
         .command("customer")
 }
 
-fn remove_customer() -> impl Parser<Wish> {
+fn remove_customer() -> impl Parser<Operation> {
     let name = name("The customer");
     construct!(Intent::RemoveCustomer { name })
-        .map(Wish::Intent)
+        .map(Operation::Intent)
         .to_options()
-        .descr("Remove a customer whose keys are withdrawn")
+        .descr("Remove a customer without valid keys")
         .command("remove-customer")
 }
 
-fn give_key() -> impl Parser<Wish> {
+fn give_key() -> impl Parser<Operation> {
     let customer = positional::<String>("CUSTOMER").help("The customer");
     let id = positional::<String>("ID").help("Public identifier of the new key");
-    construct!(Wish::GiveKey { customer, id })
+    construct!(Operation::GiveKey { customer, id })
         .to_options()
-        .descr("Make a key for a customer; it is printed once and only its digest is sent")
+        .descr("Create a key for a customer; the key is printed once and only its digest is sent")
         .command("give-key")
 }
 
-fn withdraw_key() -> impl Parser<Wish> {
+fn withdraw_key() -> impl Parser<Operation> {
     let running = long("running")
-        .help("What becomes of answers already streaming: cut or finish")
+        .help("Handling of responses that are being streamed: cut or finish")
         .argument::<WithdrawalPolicy>("WHAT")
         .fallback(WithdrawalPolicy::Cut)
         .display_fallback();
     let id = positional::<String>("ID").help("Public identifier of the key").map(Arc::from);
     construct!(Intent::WithdrawKey { running, id })
-        .map(Wish::Intent)
+        .map(Operation::Intent)
         .to_options()
-        .descr("Withdraw a key for good")
+        .descr("Withdraw a key permanently")
         .command("withdraw-key")
 }
 
@@ -119,16 +120,21 @@
     long("role").help("prefill, decode or plain").argument::<Role>("ROLE")
 }
 
-fn endpoint() -> impl Parser<Wish> {
+fn endpoint() -> impl Parser<Operation> {
     let role = role();
-    let serves = text("serves", "Model or service it serves");
-    let host = text("host", "Endpoint host it stands on");
+    let serves = text("serves", "Model or service that the endpoint serves");
+    let host = text("host", "Host on which the endpoint runs");
     let zone = text("zone", "Availability zone of the host");
-    let address = text("address", "Where it listens, ip:port");
-    let agent = text("agent", "Where its agent listens, ip:port");
-    let pieces = long("pieces").help("Memory pieces (decode)").argument::<u32>("N").fallback(0);
-    let context = long("context").help("Most tokens of prompt and answer").argument::<u32>("N").fallback(0);
-    let checks_fencing = long("checks-fencing").help("It refuses orders with an old fencing number").switch();
+    let address = text("address", "Listen address of the endpoint, ip:port");
+    let agent = text("agent", "Listen address of its agent, ip:port");
+    let pieces =
+        long("pieces").help("KV cache capacity in pieces (decode only)").argument::<u32>("N").fallback(0);
+    let context = long("context")
+        .help("Maximum number of tokens in prompt and output")
+        .argument::<u32>("N")
+        .fallback(0);
+    let checks_fencing =
+        long("checks-fencing").help("The endpoint refuses orders with an outdated fencing number").switch();
     let leaving = bpaf::pure(false);
     let generation = bpaf::pure(0);
     let endpoint = construct!(Endpoint {
@@ -146,18 +152,18 @@
     });
     let name = name("The endpoint");
     construct!(Intent::PutEndpoint { endpoint, name })
-        .map(Wish::Intent)
+        .map(Operation::Intent)
         .to_options()
         .descr("Create or change an endpoint")
         .command("endpoint")
 }
 
-fn remove_endpoint() -> impl Parser<Wish> {
+fn remove_endpoint() -> impl Parser<Operation> {
     let name = name("The endpoint");
     construct!(Intent::RemoveEndpoint { name })
-        .map(Wish::Intent)
+        .map(Operation::Intent)
         .to_options()
-        .descr("Remove an endpoint that is leaving")
+        .descr("Remove an endpoint whose host is drained")
         .command("remove-endpoint")
 }
 
@@ -165,24 +171,24 @@
     command: &'static str,
     descr: &'static str,
     intent: impl Fn(Arc<str>) -> Intent + 'static,
-) -> impl Parser<Wish> {
+) -> impl Parser<Operation> {
     let host = positional::<String>("HOST").help("The endpoint host").map(Arc::from);
-    host.map(move |host| Wish::Intent(intent(host))).to_options().descr(descr).command(command)
+    host.map(move |host| Operation::Intent(intent(host))).to_options().descr(descr).command(command)
 }
 
-fn serve() -> impl Parser<Wish> {
+fn serve() -> impl Parser<Operation> {
     let role = role();
-    let serves = text("serves", "Model it shall serve");
+    let serves = text("serves", "Model to serve");
     let endpoint = name("The endpoint");
     construct!(Intent::Serve { role, serves, endpoint })
-        .map(Wish::Intent)
+        .map(Operation::Intent)
         .to_options()
         .descr("Order an endpoint to load another model or change its role")
         .command("serve")
 }
 
 pub(crate) async fn execute(options: Options) -> Result<(), CommandError> {
-    let (intent, key) = intent(options.wish)?;
+    let (intent, key) = intent(options.operation)?;
     let planned = options.entry.client().plan(&intent).await?;
     let path = options.out;
     let text = format!("{:#}\n", serde_json::json!(planned));
@@ -195,10 +201,10 @@
     Ok(())
 }
 
-fn intent(wish: Wish) -> Result<(Intent, Option<String>), CommandError> {
-    match wish {
-        Wish::Intent(intent) => Ok((intent, None)),
-        Wish::GiveKey { customer, id } => {
+fn intent(operation: Operation) -> Result<(Intent, Option<String>), CommandError> {
+    match operation {
+        Operation::Intent(intent) => Ok((intent, None)),
+        Operation::GiveKey { customer, id } => {
             let key = new_key()?;
             let digest = digest(&key).into();
             Ok((Intent::GiveKey { id: id.into(), digest, customer: customer.into() }, Some(key)))
--- a/src/cmd/resolve.rs
+++ b/src/cmd/resolve.rs
@@ -1,4 +1,4 @@
-//! `resolve`: learn what became of a plan.
+//! `resolve`: prints whether a plan was applied.
 
 use bpaf::{Parser, construct, positional};
 
@@ -14,7 +14,7 @@
     let entry = Entry::parser();
     let plan = positional::<String>("PLAN").help("Identifier of the plan");
     let options = construct!(Options { entry, plan }).map(Command::Resolve);
-    let descr = "Learn what became of a plan; one that was not confirmed never will be after this";
+    let descr = "Print whether a plan was applied; an unconfirmed plan is invalidated";
     options.to_options().descr(descr).command("resolve")
 }
 
--- a/src/cmd/show.rs
+++ b/src/cmd/show.rs
@@ -1,4 +1,4 @@
-//! `show`: the settings in force.
+//! `show`: prints the settings in force.
 
 use bpaf::{Parser, construct};
 
@@ -12,7 +12,7 @@
 pub(crate) fn command() -> impl Parser<Command> {
     let entry = Entry::parser();
     let options = construct!(Options { entry }).map(Command::Show);
-    options.to_options().descr("Show customers, keys and endpoints in force").command("show")
+    options.to_options().descr("Show the customers, keys and endpoints in force").command("show")
 }
 
 pub(crate) async fn execute(options: Options) -> Result<(), CommandError> {
--- a/src/cmd/story.rs
+++ b/src/cmd/story.rs
@@ -1,9 +1,9 @@
-//! `story`: what became of one request, from the daemons' logs.
+//! `story`: prints the timeline of a request, from the daemons' logs.
 
 use std::path::PathBuf;
 
 use bpaf::{Parser, construct, positional};
-use tarragonhill_operator::log::story;
+use tarragonhill_operator::log::timeline;
 
 use crate::cmd::{Command, CommandError, read_logs};
 
@@ -14,18 +14,20 @@
 }
 
 pub(crate) fn command() -> impl Parser<Command> {
-    let request = positional("ID").help("The request's id, as the caller has it");
-    let files = positional("LOG").help("Logs of the daemons, in any order").some("name at least one log");
+    let request = positional("ID").help("Request identifier, as known to the caller");
+    let files = positional("LOG")
+        .help("Log files of the daemons, in any order")
+        .some("specify at least one log file");
     let options = construct!(Options { request, files }).map(Command::Story);
-    options.to_options().descr("Tell what became of a request, from the daemons' logs").command("story")
+    options.to_options().descr("Print the timeline of a request, from the daemons' logs").command("story")
 }
 
 pub(crate) fn execute(options: &Options) -> Result<(), CommandError> {
     let lines = read_logs(&options.files)?;
-    let story = story(&lines, &options.request);
-    let Some(first) = story.first() else { return Err(CommandError::NoStory(options.request.clone())) };
-    for line in &story {
-        println!("{:>8.3} s  {}", (line.at - first.at) as f64 / 1_000.0, line.describe());
+    let timeline = timeline(&lines, &options.request);
+    let Some(first) = timeline.first() else { return Err(CommandError::NotFound(options.request.clone())) };
+    for line in &timeline {
+        println!("{:>8.3} s  {}", (line.at_ms - first.at_ms) as f64 / 1_000.0, line.describe());
     }
     Ok(())
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! `tarragonhill`: the operators' command line. Parses and dispatches; the subcommands are in `cmd`.
+//! `tarragonhill`, the operators' command line. The subcommands are in [`cmd`].
 
 mod cmd;
 
@@ -19,9 +19,7 @@
     construct!([plan, confirm, resolve, show, dump, story, failures])
         .to_options()
         .version(env!("CARGO_PKG_VERSION"))
-        .descr(
-            "Operates tarragonhill: plan a change, look at the plan, confirm it; explain failures from logs",
-        )
+        .descr("Operates tarragonhill: plans and confirms changes, shows state and analyzes logs")
 }
 
 fn main() -> ExitCode {
