--- a/crates/core/src/gateway/placement.rs
+++ b/crates/core/src/gateway/placement.rs
@@ -57,7 +57,7 @@
     /// Memory that must stay free in addition to the run, in tokens.
     pub headroom: u64,
     /// Target for the longest pause between events; zero if none is declared.
-    pub gap: Duration,
+    pub target_gap: Duration,
     /// Target for the time to the first event.
     pub ttft_target: Duration,
     /// Endpoints that failed the run before.
@@ -144,7 +144,7 @@
     }
 
     fn is_ejected(&self, endpoint: &Endpoint) -> bool {
-        self.load(endpoint).is_some_and(|load| load.health.is_shunned(self.now))
+        self.load(endpoint).is_some_and(|load| load.health.is_ejected(self.now))
     }
 
     /// Returns whether a prompt is in flight for so long that the endpoint probably hangs.
@@ -174,7 +174,7 @@
     /// Returns the time until an endpoint's backlog is processed, without and with `prompt` further
     /// tokens.
     fn prefill_times(&self, endpoint: &Endpoint, prompt: u64) -> (Duration, Duration) {
-        let ahead = self.load(endpoint).map_or(0, |load| load.total(self.now).reading);
+        let ahead = self.load(endpoint).map_or(0, |load| load.total(self.now).prefill_tokens);
         let forecast = self.forecasts.endpoint(self.now, &endpoint.service, &endpoint.id);
         let busy = if ahead == 0 { Duration::ZERO } else { forecast.prefill_time(ahead) };
         (busy, forecast.prefill_time(ahead + prompt))
@@ -239,7 +239,7 @@
     fn decode_with_prefill(&self, service: &str, engine: &Engine, run: &Run<'_>) -> Option<Arc<Endpoint>> {
         let forecast = self.forecasts.service(service);
         let pause = forecast.local_prefill_time(run.prompt) + forecast.typical_event_interval();
-        if !run.gap.is_zero() && pause > run.gap {
+        if !run.target_gap.is_zero() && pause > run.target_gap {
             return None;
         }
         // Indexes cover all listed endpoints: replicas may disagree on which ones are candidates.
@@ -308,7 +308,7 @@
         for endpoint in serving {
             all += 1;
             let Some(load) = self.load(endpoint) else { continue };
-            ejected += u32::from(load.health.is_shunned(self.now));
+            ejected += u32::from(load.health.is_ejected(self.now));
             full += u32::from(load.is_full(self.now));
             running += load.total(self.now).running;
             memory += load.total(self.now).memory;
--- /dev/null
+++ b/crates/core/src/gateway/rate_limit.rs
@@ -0,0 +1,338 @@
+//! Token-bucket rate limits for customers, enforced over all replicas together.
+//!
+//! Every replica keeps the customer's whole token bucket. It subtracts its own spending and the
+//! spending that peers report in digests. A peer that sends no digests is charged its even share of
+//! the rate, and charges this replica likewise, so that partitioned replicas stay within the rate
+//! together. The charge is corrected when the peer's next digest arrives.
+
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    ops::Bound,
+    sync::Arc,
+    time::Duration,
+};
+
+use super::{
+    catalog::Customer,
+    digest::{Digest, Peers},
+};
+use crate::clock::{Time, decay_factor, micros};
+
+const MICROTOKENS_PER_TOKEN: i64 = 1_000_000;
+
+/// Time without a digest after which a peer is charged its share of the rate; tolerates a few lost
+/// digests.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Initial level of a new process, as a divisor of the burst, until a peer reports the real level:
+/// the process may replace one that had already spent the bucket.
+const INITIAL_LEVEL_DIVISOR: i64 = 4;
+/// Period after start in which the level may still be taken over from a peer.
+const LEARNING_PERIOD: Duration = Duration::from_secs(3);
+/// Limit on the size of the totals in one digest, so that the digest fits a datagram.
+const MAX_TOTALS_BYTES: usize = 24 << 10;
+/// Encoded size of one customer's totals, without its name.
+const TOTALS_OVERHEAD_BYTES: usize = 24;
+/// Longest retry delay; callers that wait longer have often left.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(6);
+/// Shortest retry delay for callers over their rate; keeps them from retrying in lockstep.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
+
+/// Largest request that counts as small, as a divisor of the burst.
+const SMALL_REQUEST_DIVISOR: i64 = 50;
+/// Level below which tokens are scarce, as a divisor of the burst.
+const LOW_LEVEL_DIVISOR: i64 = 2;
+/// Half-life of the recorded demand of small requests.
+const SMALL_DEMAND_HALF_LIFE: Duration = Duration::from_secs(2);
+/// Most tokens reserved for small requests, as a divisor of the burst.
+const MAX_RESERVE_DIVISOR: i64 = 4;
+
+/// What one peer has spent of one customer's tokens.
+#[derive(Clone, Copy, Debug, Default)]
+struct PeerUsage {
+    incarnation: u64,
+    /// Tokens spent by this incarnation, by its newest digest.
+    spent: u64,
+    /// Microtokens charged for its silence since that digest.
+    charged: i64,
+}
+
+#[derive(Clone, Debug)]
+struct Account {
+    /// Tokens per second; equally, microtokens per microsecond.
+    rate: i64,
+    /// Microtokens; negative after concurrent spending by several replicas.
+    level: i64,
+    /// Microtokens.
+    burst: i64,
+    refilled_at: Time,
+    /// Microtokens that refused callers will retry for and that have not been refilled since.
+    deferred: i64,
+    /// Tokens spent here since the process started.
+    spent: u64,
+    /// Value of `spent` in the last digest.
+    reported: u64,
+    /// Decaying sum of the microtokens that small requests asked for here.
+    small_demand: i64,
+    peers: BTreeMap<Arc<str>, PeerUsage>,
+    /// Whether the level was taken over from a peer.
+    is_initialized: bool,
+}
+
+impl Account {
+    fn new(customer: &Customer, now: Time) -> Self {
+        let burst = signed(customer.burst) * MICROTOKENS_PER_TOKEN;
+        Self {
+            rate: signed(customer.rate),
+            level: burst / INITIAL_LEVEL_DIVISOR,
+            burst,
+            refilled_at: now,
+            deferred: 0,
+            spent: 0,
+            reported: 0,
+            small_demand: 0,
+            peers: BTreeMap::new(),
+            is_initialized: false,
+        }
+    }
+
+    fn refill(&mut self, now: Time) {
+        let passed = now.since(self.refilled_at);
+        self.small_demand = (self.small_demand as f64 * decay_factor(passed, SMALL_DEMAND_HALF_LIFE)) as i64;
+        let inflow = signed(micros(passed)) * self.rate;
+        self.level = (self.level + inflow).min(self.burst);
+        self.deferred = (self.deferred - inflow).max(0);
+        self.refilled_at = self.refilled_at.max(now);
+    }
+
+    /// Whether spending should be reported immediately: replicas that do not know of each other's
+    /// spending could overdraw a low bucket together.
+    fn is_digest_urgent(&self) -> bool {
+        let unreported = signed(self.spent.saturating_sub(self.reported)) * MICROTOKENS_PER_TOKEN;
+        self.level < self.burst / LOW_LEVEL_DIVISOR && unreported > self.burst / SMALL_REQUEST_DIVISOR
+    }
+
+    fn adjust(&mut self, customer: &Customer) {
+        self.rate = signed(customer.rate);
+        self.burst = signed(customer.burst) * MICROTOKENS_PER_TOKEN;
+        self.level = self.level.min(self.burst);
+    }
+
+    /// Returns the level, in microtokens, at which a request of `needed` microtokens is admitted.
+    /// Large requests must leave a reserve, so that a customer above its rate still has its small
+    /// requests admitted.
+    fn required(&mut self, needed: i64) -> i64 {
+        if needed <= self.burst / SMALL_REQUEST_DIVISOR {
+            self.small_demand += needed;
+            return needed;
+        }
+        let reserve = self.small_demand.min(self.burst / MAX_RESERVE_DIVISOR);
+        (needed + reserve).min(self.burst)
+    }
+
+    /// Returns the retry delay for a request of `needed` microtokens. Each delay adds to those
+    /// given to earlier callers, so that callers do not retry at the same moment.
+    fn schedule_retry(&mut self, needed: i64) -> Duration {
+        let missing = (needed - self.level).max(self.deferred + needed - self.level.max(0));
+        let max_deferred = signed(micros(MAX_RETRY_AFTER)) * self.rate;
+        self.deferred = missing.min(max_deferred);
+        let wait = u64::try_from(missing.min(max_deferred) / self.rate.max(1)).unwrap_or_default();
+        Duration::from_micros(wait).max(MIN_RETRY_AFTER)
+    }
+
+    /// Subtracts what a peer spent since its previous total, and returns the charge for its
+    /// silence. The first total of a peer only sets the baseline.
+    fn apply_total(&mut self, peer: &Arc<str>, incarnation: u64, spent: u64) {
+        let usage = self.peers.entry(peer.clone()).or_insert(PeerUsage { incarnation, spent, charged: 0 });
+        let previous = if usage.incarnation == incarnation { usage.spent } else { 0 };
+        let newly_spent = signed(spent.saturating_sub(previous)) * MICROTOKENS_PER_TOKEN;
+        let credited = std::mem::replace(usage, PeerUsage { incarnation, spent, charged: 0 }).charged;
+        self.level = (self.level - newly_spent + credited).clamp(-self.burst, self.burst);
+    }
+
+    /// Takes over the level of an older process. Subtracts all own spending, which the older
+    /// process may not have received yet.
+    fn initialize(&mut self, left: i64) {
+        let level = left
+            .saturating_mul(MICROTOKENS_PER_TOKEN)
+            .saturating_sub(signed(self.spent) * MICROTOKENS_PER_TOKEN);
+        self.level = level.clamp(-self.burst, self.burst);
+        self.is_initialized = true;
+    }
+
+    fn charge_silent_peer(&mut self, peer: &Arc<str>, passed: Duration, replicas: u32) {
+        let share = signed(micros(passed)) * self.rate / i64::from(replicas.max(1));
+        self.peers.entry(peer.clone()).or_default().charged += share;
+        self.level = (self.level - share).max(-self.burst);
+    }
+}
+
+/// Totals of customers at one replica, for a digest.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Totals {
+    /// Tokens spent since the replica started.
+    pub spent: BTreeMap<Arc<str>, u64>,
+    /// Whole tokens left, for the same customers.
+    pub left: BTreeMap<Arc<str>, i64>,
+}
+
+/// Token buckets of all customers that have a rate.
+#[derive(Clone, Debug)]
+pub struct RateLimiter {
+    accounts: BTreeMap<Arc<str>, Account>,
+    /// Customers with spending since the last digest that had them.
+    unreported: BTreeSet<Arc<str>>,
+    /// Last customer, in the order of names, whose totals were taken; the next digest continues
+    /// after it.
+    cursor: Arc<str>,
+    started: Time,
+    charged_at: Time,
+}
+
+impl RateLimiter {
+    /// Creates a limiter without customers.
+    pub fn new(now: Time) -> Self {
+        Self {
+            accounts: BTreeMap::new(),
+            unreported: BTreeSet::new(),
+            cursor: Arc::default(),
+            started: now,
+            charged_at: now,
+        }
+    }
+
+    /// Applies the customers of a new configuration; known customers keep their levels.
+    pub fn update_customers<'a>(&mut self, now: Time, customers: impl Iterator<Item = &'a Arc<Customer>>) {
+        let mut previous = std::mem::take(&mut self.accounts);
+        for customer in customers.filter(|customer| customer.rate > 0) {
+            let account = previous.remove(&customer.name);
+            let mut account = account.unwrap_or_else(|| Account::new(customer, now));
+            account.refill(now);
+            account.adjust(customer);
+            self.accounts.insert(customer.name.clone(), account);
+        }
+    }
+
+    /// Spends `tokens` of a customer, or returns the retry delay.
+    pub fn spend(&mut self, now: Time, customer: &str, tokens: u64) -> Result<(), Duration> {
+        let Some(account) = self.accounts.get_mut(customer) else { return Ok(()) };
+        account.refill(now);
+        // A request larger than the burst is admitted when the bucket is full, and leaves a debt.
+        let needed = (signed(tokens) * MICROTOKENS_PER_TOKEN).min(account.burst.max(1));
+        let needed = account.required(needed);
+        if account.level < needed {
+            return Err(account.schedule_retry(needed));
+        }
+        account.level -= signed(tokens) * MICROTOKENS_PER_TOKEN;
+        account.spent += tokens;
+        if !self.unreported.contains(customer) {
+            self.unreported.insert(customer.into());
+        }
+        Ok(())
+    }
+
+    /// Returns the tokens of a request that did not run.
+    pub fn refund(&mut self, customer: &str, tokens: u64) {
+        let Some(account) = self.accounts.get_mut(customer) else { return };
+        account.spent = account.spent.saturating_sub(tokens);
+        account.level = (account.level + signed(tokens) * MICROTOKENS_PER_TOKEN).min(account.burst);
+    }
+
+    /// Applies the spending that a peer reports.
+    pub fn apply_digest(&mut self, now: Time, digest: &Digest) {
+        let is_learning = now.since(self.started) < LEARNING_PERIOD;
+        for (name, spent) in &digest.spent {
+            let Some(account) = self.accounts.get_mut(name) else { continue };
+            account.refill(now);
+            account.apply_total(&digest.name, digest.incarnation, *spent);
+            if let Some(left) = digest.left.get(name).filter(|_| is_learning && !account.is_initialized) {
+                account.initialize(*left);
+            }
+        }
+    }
+
+    /// Charges peers that are silent; must be called several times a second.
+    pub fn charge_silent_peers(&mut self, now: Time, peers: &Peers) {
+        let passed = now.since(self.charged_at);
+        self.charged_at = now;
+        let silent = peers.silence(now).filter(|(_, silence)| *silence >= SILENCE_TIMEOUT);
+        for (peer, _) in silent {
+            for account in self.accounts.values_mut() {
+                account.refill(now);
+                account.charge_silent_peer(peer, passed, peers.count());
+            }
+        }
+    }
+
+    /// Removes a peer; its charges are kept.
+    pub fn remove_peer(&mut self, peer: &str) {
+        for account in self.accounts.values_mut() {
+            account.peers.remove(peer);
+        }
+    }
+
+    /// Whether spending should be reported before the next digest is due. Called at every step of
+    /// the control thread, so it checks only customers with unreported spending.
+    pub fn is_digest_urgent(&self) -> bool {
+        self.unreported.iter().filter_map(|name| self.accounts.get(name)).any(Account::is_digest_urgent)
+    }
+
+    /// Returns totals for the next digest, for as many customers as fit: first customers with
+    /// unreported spending, then the others in the order of names, continuing after the last
+    /// digest.
+    pub fn take_totals(&mut self, now: Time) -> Totals {
+        let names = self.next_customers();
+        let mut totals = Totals::default();
+        for name in names {
+            self.unreported.remove(&name);
+            let Some(account) = self.accounts.get_mut(&name) else { continue };
+            account.refill(now);
+            account.reported = account.spent;
+            totals.left.insert(name.clone(), account.level / MICROTOKENS_PER_TOKEN);
+            totals.spent.insert(name, account.spent);
+        }
+        totals
+    }
+
+    fn next_customers(&mut self) -> BTreeSet<Arc<str>> {
+        let cursor = self.cursor.clone();
+        let after_cursor = self.accounts.range::<str, _>((Bound::Excluded(&*cursor), Bound::Unbounded));
+        let up_to_cursor = self.accounts.range::<str, _>((Bound::Unbounded, Bound::Included(&*cursor)));
+        let rotation = after_cursor.chain(up_to_cursor).map(|(name, _)| (name, true));
+        let unreported = self.unreported.iter().map(|name| (name, false));
+        let (mut names, mut remaining_bytes) = (BTreeSet::new(), MAX_TOTALS_BYTES);
+        let mut last = cursor.clone();
+        for (name, is_rotation) in unreported.chain(rotation) {
+            if names.contains(name) {
+                continue;
+            }
+            let Some(left) = remaining_bytes.checked_sub(name.len() + TOTALS_OVERHEAD_BYTES) else { break };
+            remaining_bytes = left;
+            names.insert(name.clone());
+            if is_rotation {
+                last = name.clone();
+            }
+        }
+        self.cursor = last;
+        names
+    }
+
+    /// Returns the tokens left to a customer at its last request; zero if it has no rate.
+    pub fn tokens_left_for(&self, customer: &str) -> i64 {
+        self.accounts.get(customer).map_or(0, |account| account.level / MICROTOKENS_PER_TOKEN)
+    }
+
+    /// Returns the tokens left by customer, as this replica knows them.
+    pub fn tokens_left(&mut self, now: Time) -> BTreeMap<Arc<str>, i64> {
+        let mut left = BTreeMap::new();
+        for (name, account) in &mut self.accounts {
+            account.refill(now);
+            left.insert(name.clone(), account.level / MICROTOKENS_PER_TOKEN);
+        }
+        left
+    }
+}
+
+fn signed(value: u64) -> i64 {
+    // Keeps microtokens within an `i64`; rates and counts are far below 2^40.
+    i64::try_from(value).unwrap_or(i64::MAX).min(1 << 40)
+}
--- a/crates/core/tests/gateway/pools.rs
+++ b/crates/core/tests/gateway/pools.rs
@@ -165,7 +165,7 @@
             13_000 => drop(directory.update(at(now), 300, vec![row(300, Endpoint::clone(&removed))])),
             _ => {}
         }
-        directory.settle(at(now));
+        directory.expire_lapsed(at(now));
         assert_eq!(next_order(&mut pools, now, &directory, 0), None, "{now}");
     }
 }
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -19,10 +19,10 @@
         directory::Change,
         forecast::Forecast,
         health::Outcome,
-        knowledge::Knowledge,
         pools::Order,
         queue::Verdict,
-        state::{Identity, Pair, Place, State},
+        snapshot::Snapshot,
+        state::{Assignment, Identity, Pair, State},
     },
     refusal::Code,
 };
@@ -118,7 +118,7 @@
 impl Worker {
     async fn run(&mut self, commands: Receiver<Command>) {
         loop {
-            let tick = if self.state.line_length() > 0 { QUEUE_TICK } else { TICK };
+            let tick = if self.state.queue_length() > 0 { QUEUE_TICK } else { TICK };
             match timeout(tick, commands.recv()).await {
                 Ok(Ok(command)) => self.execute(command),
                 Ok(Err(_)) => return,
@@ -132,28 +132,28 @@
     fn tick(&mut self) {
         let now = self.clock.now();
         let since = now.since(self.last_digest);
-        if since >= TICK || (since >= URGENT_DIGEST_INTERVAL && self.state.is_urgent()) {
+        if since >= TICK || (since >= URGENT_DIGEST_INTERVAL && self.state.is_digest_urgent()) {
             self.last_digest = now;
-            lock(&self.weak_control.active).is_stale = self.state.is_behind(now);
-            let (changes, gone) = self.state.settle(now);
+            lock(&self.weak_control.active).is_stale = self.state.is_configuration_stale(now);
+            let (changes, gone) = self.state.tick(now);
             log_changes(&changes);
             for peer in gone {
                 spdlog::info!("peer expired", kv: { peer = &*peer });
             }
             // The channel is full only if the sender lags; the next digest supersedes this one.
-            let _ = self.outputs.digests.try_send(self.state.digest(now));
-            if let Some(order) = self.state.order(now)
+            let _ = self.outputs.digests.try_send(self.state.next_digest(now));
+            if let Some(order) = self.state.next_order(now)
                 && let Err(error) = self.outputs.orders.try_send(order)
             {
-                self.state.order_dropped(&error.into_inner().endpoint.id);
+                self.state.cancel_order(&error.into_inner().endpoint.id);
             }
         }
         if now.since(self.last_forecast_log) >= FORECAST_LOG_INTERVAL {
             self.last_forecast_log = now;
             log_forecasts(&self.state.forecasts());
         }
-        self.state.retain_line(|reply| !reply.is_closed());
-        for (waiting, verdict) in self.state.pump(now) {
+        self.state.retain_queued(|reply| !reply.is_closed());
+        for (waiting, verdict) in self.state.dispatch(now) {
             let result = match verdict {
                 Verdict::Placed(pair) => self.permits(pair).ok_or_else(shutting_down),
                 Verdict::Expired => Err(self.overloaded(now, &waiting.service)),
@@ -164,46 +164,61 @@
     }
 
     /// Returns `None` once all handles have been dropped; no request is left to receive the permit then.
-    fn permit(&self, place: Place) -> Option<Permit> {
-        let Place { endpoint, lease, tokens, limit } = place;
+    fn permit(&self, assignment: Assignment) -> Option<Permit> {
+        let Assignment { endpoint, lease, prefill_tokens, prefill_timeout } = assignment;
         let control = self.weak_control.upgrade()?;
-        Some(Permit { endpoint, tokens, limit, lease, outcome: Outcome::Abandoned, control })
+        Some(Permit {
+            endpoint,
+            prefill_tokens,
+            prefill_timeout,
+            lease,
+            outcome: Outcome::Abandoned,
+            control,
+        })
     }
 
     fn permits(&self, pair: Pair) -> Option<Permits> {
-        let Pair { run, reader } = pair;
-        let decode = self.permit(run)?;
-        Some(Permits { decode, prefill: reader.and_then(|reader| self.permit(reader)) })
+        let Pair { decode, prefill } = pair;
+        let decode = self.permit(decode)?;
+        Some(Permits { decode, prefill: prefill.and_then(|prefill| self.permit(prefill)) })
     }
 
     fn execute(&mut self, command: Command) {
         let now = self.clock.now();
         match command {
             Command::Admit(admission, reply) => drop(reply.try_send(self.state.admit(now, &admission))),
-            Command::Refund(admission) => self.state.give_back(&admission),
+            Command::Refund(admission) => self.state.refund(&admission),
             Command::AcquireRetry(service, reply) => drop(reply.try_send(self.state.retry(now, &service))),
             Command::IsSplit(service, reply) => drop(reply.try_send(self.state.is_split(now, &service))),
             Command::Place(service, avoid, reply) => {
-                let place = self.state.whole(now, &service, &avoid);
-                drop(reply.try_send(place.and_then(|place| self.permit(place).ok_or_else(shutting_down))));
+                let assignment = self.state.place_whole(now, &service, &avoid);
+                drop(reply.try_send(
+                    assignment.and_then(|assignment| self.permit(assignment).ok_or_else(shutting_down)),
+                ));
             }
             Command::PlacePrompt(prompt, reply) => {
-                let place = self.state.prefill(now, &prompt);
-                drop(reply.try_send(place.and_then(|place| self.permit(place))));
+                let assignment = self.state.place_prefill(now, &prompt);
+                drop(reply.try_send(assignment.and_then(|assignment| self.permit(assignment))));
             }
-            Command::Enqueue(completion, reply) => self.state.line_up(now, completion, reply),
+            Command::Enqueue(completion, reply) => self.state.enqueue(now, completion, reply),
             Command::Forecast(service, reply) => drop(reply.try_send(self.state.forecast(&service))),
             Command::Forecasts(reply) => drop(reply.try_send(self.state.forecasts())),
-            Command::Observe(endpoint, observation) => self.state.observed(now, &endpoint, observation),
-            Command::RecordEvents(lease, service, events) => self.state.made(&lease, &service, events),
-            Command::RecordResponse(lease) => self.state.answered(now, &lease),
-            Command::Release(lease, outcome) => self.state.ended(now, &lease, outcome),
-            Command::RecordFailure(endpoint, fingerprint) => self.state.broke(now, &endpoint, fingerprint),
-            Command::DropOrder(endpoint) => self.state.order_dropped(&endpoint),
+            Command::Observe(endpoint, observation) => {
+                self.state.record_observation(now, &endpoint, observation)
+            }
+            Command::RecordEvents(lease, service, events) => {
+                self.state.record_events(&lease, &service, events)
+            }
+            Command::RecordResponse(lease) => self.state.record_answer(now, &lease),
+            Command::Release(lease, outcome) => self.state.record_end(now, &lease, outcome),
+            Command::RecordFailure(endpoint, fingerprint) => {
+                self.state.record_interrupted(now, &endpoint, fingerprint)
+            }
+            Command::DropOrder(endpoint) => self.state.cancel_order(&endpoint),
             Command::Update(update) => self.update(now, update),
-            Command::Digest(digest, from) => self.state.heard(now, &digest, from),
+            Command::Digest(digest, from) => self.state.apply_digest(now, &digest, from),
             Command::Snapshot(reply) => drop(reply.try_send(self.snapshot())),
-            Command::NewerPeers(reply) => drop(reply.try_send(self.state.ahead(now))),
+            Command::NewerPeers(reply) => drop(reply.try_send(self.state.catch_up_peers(now))),
             Command::Versions(reply) => drop(reply.try_send(self.state.versions())),
             Command::Members(reply) => drop(reply.try_send(self.state.members())),
             Command::Dump(reply) => drop(reply.try_send(self.dump(now))),
@@ -213,41 +228,41 @@
     fn overloaded(&self, now: Time, service: &str) -> Refusal {
         let why = self.state.describe(now, service);
         let message = format!("no endpoint memory becomes free before the deadline: {why}");
-        Refusal::not_run(Code::Overloaded, message).with_retry_after(self.state.memory_free_after(service))
+        Refusal::not_run(Code::Overloaded, message).with_retry_after(self.state.memory_retry_after(service))
     }
 
     fn update(&mut self, now: Time, update: Update) {
         match update {
             Update::Catalog { order, catalog, source } => self.adopt(now, order, catalog, source),
-            Update::Listing(listing) => log_changes(&self.state.list(now, listing)),
+            Update::Listing(listing) => log_changes(&self.state.apply_listing(now, listing)),
             Update::PeerListing { listing, newest } => {
-                log_changes(&self.state.told(now, listing, newest));
+                log_changes(&self.state.apply_peer_listing(now, listing, newest));
             }
             Update::Member(member) => {
                 spdlog::info!("peer read from the store", kv: { peer = &*member.name, address = member.address.to_string().as_str() });
-                self.state.member(now, member);
+                self.state.add_member(now, member);
             }
             Update::StoreLost { what, reason } => {
                 spdlog::warn!("store lost", kv: { what, reason = reason.as_str() });
-                self.state.store_lost();
+                self.state.mark_store_unreachable();
             }
             Update::StoreRecovered { what } => spdlog::info!("store recovered", kv: { what }),
         }
-        if self.state.is_informed() {
+        if self.state.is_ready() {
             self.initializing = None;
         }
     }
 
-    fn snapshot(&self) -> Option<Knowledge> {
+    fn snapshot(&self) -> Option<Snapshot> {
         let configuration = self.source.clone()?;
         let versions = self.state.versions();
-        Some(Knowledge { versions, configuration, listing: self.state.listing() })
+        Some(Snapshot { versions, configuration, listing: self.state.listing() })
     }
 
     /// Activates a configuration, unless it is not newer than the active one.
     fn adopt(&mut self, now: Time, order: u64, catalog: Arc<Catalog>, source: Arc<[u8]>) {
         let (version, routes) = (catalog.version(), catalog.route_count());
-        if !self.state.adopt(now, order, catalog.clone()) {
+        if !self.state.apply_catalog(now, order, catalog.clone()) {
             spdlog::info!("outdated configuration ignored", kv: { version, order });
             return;
         }
@@ -266,9 +281,9 @@
                 let all = load.map(|load| load.total(now)).unwrap_or_default();
                 serde_json::json!({
                     "id": endpoint.id, "service": endpoint.service, "zone": endpoint.zone,
-                    "stage": endpoint.stage.to_string(), "leaving": endpoint.leaving,
-                    "running": all.running, "memory": all.memory, "reading": all.reading,
-                    "failing": load.map(|load| load.health.failing(now)),
+                    "stage": endpoint.stage.to_string(), "leaving": endpoint.is_draining,
+                    "running": all.running, "memory": all.memory, "reading": all.prefill_tokens,
+                    "failing": load.map(|load| load.health.failure_ratio(now)),
                 })
             })
             .collect();
@@ -282,9 +297,9 @@
             "version": self.state.catalog().map(|catalog| catalog.version()),
             "behind": lock(&self.weak_control.active).is_stale,
             "endpoints": endpoints,
-            "left": self.state.left(now),
-            "sharers": self.state.sharers(),
-            "waiting": self.state.line_length(),
+            "left": self.state.tokens_left(now),
+            "sharers": self.state.replica_count(),
+            "waiting": self.state.queue_length(),
             "forecasts": forecasts,
         })
     }
@@ -312,11 +327,11 @@
 fn log_changes(changes: &[Change]) {
     for change in changes {
         let (what, endpoint) = match change {
-            Change::Seen(endpoint) => ("seen", endpoint),
+            Change::Updated(endpoint) => ("seen", endpoint),
             Change::Restarted(endpoint) => ("restarted", endpoint),
-            Change::Leaving(endpoint) => ("leaving", endpoint),
+            Change::Draining(endpoint) => ("leaving", endpoint),
             Change::Lapsed(endpoint) => ("lapsed", endpoint),
-            Change::Gone(endpoint) => ("gone", endpoint),
+            Change::Removed(endpoint) => ("gone", endpoint),
         };
         let stage: &'static str = endpoint.stage.into();
         spdlog::info!("endpoint", kv: {
