--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -246,7 +246,7 @@
 
     async fn start_agent(&self, endpoint: &str, number: usize) -> Result<Agent, FleetError> {
         let common = self.common(&format!("agent-{endpoint}"), number);
-        let settings = AgentSettings { common, fronts: [endpoint.into()].into() };
+        let settings = AgentSettings { common, endpoints: [endpoint.into()].into() };
         Ok(Agent::start(settings, Clock::runtime()).await?)
     }
 
--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -4,7 +4,7 @@
 use tarragonhill_http::server::{Inbound, Outbound};
 
 /// Handles the paths that all roles share; returns `None` for other paths.
-pub(crate) fn answer_common(inbound: &Inbound, registry: &Registry, is_ready: bool) -> Option<Outbound> {
+pub(crate) fn handle_common(inbound: &Inbound, registry: &Registry, is_ready: bool) -> Option<Outbound> {
     match (inbound.method.as_str(), inbound.path.as_str()) {
         ("GET", "/metrics") => Some(metrics(registry)),
         ("GET", "/healthz") => Some(Outbound::text(200, "ok\n")),
--- a/crates/daemon/src/agent.rs
+++ b/crates/daemon/src/agent.rs
@@ -44,7 +44,7 @@
         let common = settings.common;
         let current = Arc::new(Current::new(clock.clone()));
         let metrics = Metrics::new();
-        let control = control::start(settings.fronts, clock.clone(), current.clone(), metrics.clone())
+        let control = control::start(settings.endpoints, clock.clone(), current.clone(), metrics.clone())
             .map_err(StartError::Thread)?;
         let (address, link_server) = server::serve(common.listen, control.clone(), current.clone())?;
         let admin_server = bind("admin", common.admin).await?;
@@ -53,7 +53,7 @@
         tasks.push(task::spawn(watch_settings(current.clone(), common.table, common.poll, control.clone())));
         let handler_control = control.clone();
         tasks.push(task::spawn(admin_server.serve(move |inbound| {
-            answer(inbound, handler_control.clone(), current.clone(), metrics.clone())
+            handle(inbound, handler_control.clone(), current.clone(), metrics.clone())
         })));
         spdlog::info!("agent started", kv: { name = &*common.name, listen = address.to_string().as_str() });
         Ok(Self { address, admin, control, clock, drain: common.drain, tasks })
@@ -101,14 +101,14 @@
         .await;
 }
 
-async fn answer(
+async fn handle(
     inbound: Inbound,
     control: Control,
     current: Arc<Current>,
     metrics: Arc<Metrics>,
 ) -> Outbound {
     let is_ready = current.get().version > 0;
-    if let Some(outbound) = admin::answer_common(&inbound, metrics.registry(), is_ready) {
+    if let Some(outbound) = admin::handle_common(&inbound, metrics.registry(), is_ready) {
         return outbound;
     }
     match (inbound.method.as_str(), inbound.path.as_str()) {
--- a/crates/daemon/src/agent/control.rs
+++ b/crates/daemon/src/agent/control.rs
@@ -31,9 +31,9 @@
 /// Interval of ticks without work, when only tombstones expire.
 const IDLE_TICK: Duration = Duration::from_millis(250);
 
-/// Starts the control thread for the endpoints named in `fronts`.
+/// Starts the control thread for the endpoints named in `endpoints`.
 pub(crate) fn start(
-    fronts: BTreeSet<Arc<str>>,
+    endpoints: BTreeSet<Arc<str>>,
     clock: Clock,
     current: Arc<Current>,
     metrics: Arc<Metrics>,
@@ -42,7 +42,7 @@
     let control = Control::new(sender);
     let workers = Workers::new(control.clone());
     let controller =
-        Controller { state: State::new(fronts), clock, current, metrics, workers, links: BTreeMap::new() };
+        Controller { state: State::new(endpoints), clock, current, metrics, workers, links: BTreeMap::new() };
     thread::Builder::new().name("control".into()).spawn(move || task::block_on(controller.run(receiver)))?;
     Ok(control)
 }
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -232,7 +232,7 @@
     /// Settings shared by all roles.
     pub common: CommonSettings,
     /// Names of the endpoints that the agent manages.
-    pub fronts: BTreeSet<Arc<str>>,
+    pub endpoints: BTreeSet<Arc<str>>,
 }
 
 /// Validated settings of a gateway.
@@ -339,7 +339,7 @@
 impl AgentSettings {
     fn validate(common: Common, agent: AgentOptions) -> Result<Self, ConfigError> {
         let names = agent.fronts.split(',').map(|part| name("fronts", part.trim()));
-        Ok(Self { common: common.try_into()?, fronts: names.collect::<Result<_, _>>()? })
+        Ok(Self { common: common.try_into()?, endpoints: names.collect::<Result<_, _>>()? })
     }
 }
 
--- a/crates/daemon/src/entry/operators.rs
+++ b/crates/daemon/src/entry/operators.rs
@@ -26,7 +26,7 @@
 /// Answers one request at the admin address.
 pub(crate) async fn answer(context: Arc<Context>, inbound: Inbound) -> Outbound {
     let ready = context.check_serving().is_ok();
-    if let Some(outbound) = admin::answer_common(&inbound, context.metrics.registry(), ready) {
+    if let Some(outbound) = admin::handle_common(&inbound, context.metrics.registry(), ready) {
         return outbound;
     }
     if !may_operate(&context, &inbound) {
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -59,7 +59,7 @@
         let admin = server.address();
         let admin_state =
             Admin { status: gateway.status(), dropped_lines: register_dropped_lines(&registry), registry };
-        let admin_task = task::spawn(server.serve(move |inbound| answer(inbound, admin_state.clone())));
+        let admin_task = task::spawn(server.serve(move |inbound| handle(inbound, admin_state.clone())));
         spdlog::info!("gateway started", kv: {
             name = &*common.name, zone = &*common.zone, listen = gateway.address().to_string().as_str()
         });
@@ -120,7 +120,7 @@
     gauge
 }
 
-async fn answer(inbound: Inbound, admin: Admin) -> Outbound {
+async fn handle(inbound: Inbound, admin: Admin) -> Outbound {
     let is_ready = admin.status.is_ready();
     if inbound.path == READINESS {
         return Outbound::text(if is_ready { 200 } else { 503 }, "");
@@ -130,5 +130,5 @@
     }
     admin.status.update_metrics().await;
     admin.dropped_lines.set(i64::try_from(logging::dropped_lines()).unwrap_or(i64::MAX));
-    admin::answer_common(&inbound, &admin.registry, is_ready).unwrap_or_else(|| admin::not_found(&inbound))
+    admin::handle_common(&inbound, &admin.registry, is_ready).unwrap_or_else(|| admin::not_found(&inbound))
 }
