--- a/crates/daemon/src/entry/context.rs
+++ b/crates/daemon/src/entry/context.rs
@@ -1,4 +1,4 @@
-//! What all tasks of an entry share.
+//! State shared by all tasks of an entry.
 
 use std::{
     collections::BTreeSet,
@@ -20,10 +20,10 @@
     settings::Current,
 };
 
-/// What a refused caller is told to wait while the entry catches up with the settings.
-const CATCH_UP: Duration = Duration::from_secs(1);
+/// Retry delay sent to callers while the entry cannot serve requests.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The shared parts of one entry.
+/// Shared state of one entry.
 pub(crate) struct Context {
     pub(crate) name: Arc<str>,
     pub(crate) first_token: Duration,
@@ -38,21 +38,20 @@
     pub(crate) peers: Peers,
     pub(crate) table: Arc<dyn Table>,
     pub(crate) metrics: Arc<Metrics>,
-    /// Requests being served.
+    /// Number of requests being served.
     pub(crate) running: AtomicUsize,
-    /// Set once a graceful shutdown has begun.
-    pub(crate) leaving: AtomicBool,
-    /// The other entries that may accept changes of settings.
+    pub(crate) is_shutting_down: AtomicBool,
+    /// Names of the other live entries, each of which may accept changes of settings.
     pub(crate) entries: Mutex<Arc<BTreeSet<Arc<str>>>>,
 }
 
 impl Context {
-    /// Refuses while the entry is leaving or cannot bound the age of its settings. Computed at each
-    /// check, so that a process that was paused notices when it wakes up.
+    /// Refuses while the entry is shutting down or its settings may be stale. Evaluated on every call,
+    /// so that a process that was paused does not continue with stale settings.
     pub(crate) fn check_serving(&self) -> Result<(), Refusal> {
-        if self.leaving.load(Ordering::Relaxed) {
+        if self.is_shutting_down.load(Ordering::Relaxed) {
             return Err(Refusal::not_run(Code::ShuttingDown, "this entry is shutting down")
-                .with_retry_after(CATCH_UP));
+                .with_retry_after(UNAVAILABLE_RETRY_AFTER));
         }
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let now = self.clock.now();
@@ -60,43 +59,42 @@
             return Ok(());
         }
         let message = "this entry cannot tell whether its settings are the newest";
-        Err(Refusal::not_run(Code::SettingsUnconfirmed, message).with_retry_after(CATCH_UP))
+        Err(Refusal::not_run(Code::SettingsUnconfirmed, message).with_retry_after(UNAVAILABLE_RETRY_AFTER))
     }
 
-    /// Counts a crash here and tells all other entries, so that sending the request again through
-    /// another one does not start the count anew. Crashes are rare, so telling all costs little.
+    /// Records that a request crashed an endpoint, here and on all other entries, so that the count
+    /// applies whichever entry the caller uses next. Returns the status on this entry.
     pub(crate) async fn report_crash(self: &Arc<Self>, customer: &Arc<str>, fingerprint: u64) -> CrashStatus {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone();
         for address in self.control.addresses((*entries).clone()).await.into_values() {
             let context = self.clone();
-            let ask = PeerRequest::CrashStatus { customer: customer.clone(), fingerprint, crashed: true };
-            task::spawn(async move { context.peers.ask(&address, &context.name, ask).await });
+            let request = PeerRequest::CrashStatus { customer: customer.clone(), fingerprint, crashed: true };
+            task::spawn(async move { context.peers.exchange(&address, &context.name, request).await });
         }
         self.control.crash_status(customer, fingerprint, true).await
     }
 
-    /// Sets the other entries known.
     pub(crate) fn set_entries(&self, entries: BTreeSet<Arc<str>>) {
         *self.entries.lock().unwrap_or_else(PoisonError::into_inner) = Arc::new(entries);
     }
 
-    /// Counts a request as running until the guard is dropped.
-    pub(crate) fn enter(self: &Arc<Self>) -> Inside {
+    /// Counts a request as running until the returned guard is dropped.
+    pub(crate) fn track_running(self: &Arc<Self>) -> RunningGuard {
         self.running.fetch_add(1, Ordering::Relaxed);
-        Inside(self.clone())
+        RunningGuard(self.clone())
     }
 }
 
-/// One running request.
-pub(crate) struct Inside(Arc<Context>);
+/// Decrements the number of running requests when dropped.
+pub(crate) struct RunningGuard(Arc<Context>);
 
-impl Drop for Inside {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.running.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A new request identifier.
-pub(crate) fn new_request() -> Request {
+/// Returns a random request identifier.
+pub(crate) fn new_request_id() -> Request {
     Request(rand::random())
 }
--- a/crates/daemon/src/entry/once.rs
+++ b/crates/daemon/src/entry/once.rs
@@ -1,4 +1,7 @@
-//! Calls that may not be repeated: a record in the table before the one dispatch.
+//! Calls that must not be executed twice.
+//!
+//! A record in the table is written before the call is dispatched. Later requests with the same
+//! idempotency key find the record and get the recorded answer or a refusal.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -14,43 +17,43 @@
 use crate::entry::{
     context::Context,
     request::Call,
-    stages::{self, Ticket},
+    stages::{self, RequestInfo},
 };
 
-/// Times that a lost answer is settled before the caller is told.
-const TRIES: u32 = 5;
-/// Pause between them.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Attempts at each table operation before it is given up.
+const MAX_TRIES: u32 = 5;
+/// Delay between attempts at a table operation.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Serves a call that may not be repeated.
+/// Serves a call with an idempotency key.
 pub(crate) async fn call(
     context: &Context,
-    ticket: &Ticket,
+    info: &RequestInfo,
     call: Call,
     idempotency_key: &Arc<str>,
 ) -> Result<Outbound, Refusal> {
     stages::check_service(context, &call.service)?;
-    let record = Entry {
+    let record = RecordHandle {
         context,
-        key: idempotency::row_key(&ticket.key.customer, idempotency_key),
+        row_key: idempotency::row_key(&info.key.customer, idempotency_key),
         digest: call_digest(&call),
-        token: ticket.request,
+        token: info.request,
     };
-    match record.begin().await? {
-        Begun::Ours(version) => dispatch(context, ticket, &call, &record, version).await,
-        Begun::Replay(reply) => Ok(reply.outbound()),
+    match record.claim().await? {
+        Claim::Owned(version) => dispatch(context, info, &call, &record, version).await,
+        Claim::Replay(reply) => Ok(reply.outbound()),
     }
 }
 
-/// What became of the attempt to begin a call.
-enum Begun {
-    /// The record is ours and stands at this version: dispatch, once.
-    Ours(u64),
-    /// The call was made before; this is its answer.
+/// Result of claiming the record of a call.
+enum Claim {
+    /// This request wrote the record, at this version, and must dispatch the call.
+    Owned(u64),
+    /// The call was answered before.
     Replay(stages::Reply),
 }
 
-/// Digest of everything that makes it this call and no other.
+/// Returns the digest that identifies the call, to detect reuse of a key for a different call.
 fn call_digest(call: &Call) -> Arc<str> {
     let body = String::from_utf8_lossy(&call.body);
     digest(&format!("{}\n{}\n{}\n{body}", call.service, call.method, call.path)).into()
@@ -58,81 +61,82 @@
 
 async fn dispatch(
     context: &Context,
-    ticket: &Ticket,
+    info: &RequestInfo,
     call: &Call,
-    record: &Entry<'_>,
+    record: &RecordHandle<'_>,
     version: u64,
 ) -> Result<Outbound, Refusal> {
-    let _charge = match stages::charge_call(context, ticket).await {
+    let _charge = match stages::charge_call(context, info).await {
         Ok(charge) => charge,
         Err(refusal) => {
             record.finish(version, State::Abandoned).await;
             return Err(refusal);
         }
     };
-    match stages::dispatch(context, ticket, call, 1, &BTreeSet::new()).await {
+    match stages::dispatch(context, info, call, 1, &BTreeSet::new()).await {
         Ok((_, reply)) => {
             let body = String::from_utf8_lossy(&reply.body).into_owned();
             record.finish(version, State::Answered { status: reply.status, body }).await;
             context.metrics.answered.with_label_values(&["call_once"]).inc();
             Ok(reply.outbound())
         }
-        Err(failure) => Err(record.failed(version, failure).await),
+        Err(failure) => Err(record.record_failure(version, failure).await),
     }
 }
 
-/// The record of one call, as seen by one request.
-struct Entry<'a> {
+/// The record of one call, accessed on behalf of one request.
+struct RecordHandle<'a> {
     context: &'a Context,
-    key: String,
+    row_key: String,
     digest: Arc<str>,
     token: Request,
 }
 
-impl Entry<'_> {
-    /// Inserts the record, unless another stands there.
-    async fn begin(&self) -> Result<Begun, Refusal> {
-        for _ in 0..TRIES {
+impl RecordHandle<'_> {
+    /// Inserts the record, or decides by the existing one.
+    async fn claim(&self) -> Result<Claim, Refusal> {
+        for _ in 0..MAX_TRIES {
             let found = self.read().await?;
             let expected = match found {
                 None => 0,
                 Some((version, record)) => match idempotency::decide(&record, &self.digest, self.token) {
-                    Action::Dispatch => return Ok(Begun::Ours(version)),
+                    Action::Dispatch => return Ok(Claim::Owned(version)),
                     Action::Replay { status, body } => {
-                        return Ok(Begun::Replay(stages::Reply { status, body: body.into_bytes() }));
+                        return Ok(Claim::Replay(stages::Reply { status, body: body.into_bytes() }));
                     }
                     Action::Refuse(refusal) => return Err(refusal),
                     Action::Reclaim => version,
                 },
             };
             if let Some(version) = self.insert(expected).await? {
-                return Ok(Begun::Ours(version));
+                return Ok(Claim::Owned(version));
             }
         }
         Err(unavailable("the record is contended"))
     }
 
-    /// Writes `Started` over `expected`; the version it stands at, none if another stands there now.
+    /// Writes `Started` if the row is still at version `expected`. Returns the new version, or `None`
+    /// if another request has written the row.
     async fn insert(&self, expected: u64) -> Result<Option<u64>, Refusal> {
         match self.write(State::Started, expected).await {
             Ok(version) => Ok(Some(version)),
             Err(TableError::Conflict(_)) => Ok(None),
-            Err(TableError::Unavailable(why)) => Err(unavailable(&why)),
-            Err(TableError::Unknown(_)) => self.settle(expected).await,
+            Err(TableError::Unavailable(reason)) => Err(unavailable(&reason)),
+            Err(TableError::Unknown(_)) => self.resolve_insert(expected).await,
         }
     }
 
-    /// Finds out whether a write whose answer was lost has landed, and makes sure that it cannot
-    /// land later: the tombstone takes the place that the write expects to be free.
-    async fn settle(&self, expected: u64) -> Result<Option<u64>, Refusal> {
-        for _ in 0..TRIES {
+    /// Determines whether a write whose reply was lost was applied. If not, writes a tombstone, which
+    /// changes the row version so that the lost write cannot be applied later.
+    async fn resolve_insert(&self, expected: u64) -> Result<Option<u64>, Refusal> {
+        for _ in 0..MAX_TRIES {
             let Ok(found) = self.read().await else {
-                self.context.clock.sleep(PAUSE).await;
+                self.context.clock.sleep(RETRY_DELAY).await;
                 continue;
             };
-            let standing = found.as_ref().filter(|(version, _)| *version != expected);
-            match idempotency::resolve_write(standing.map(|(_, record)| record), self.token) {
-                WriteOutcome::Applied => return Ok(standing.map(|(version, _)| *version)),
+            let current = found.as_ref().filter(|(version, _)| *version != expected);
+            match idempotency::resolve_write(current.map(|(_, record)| record), self.token) {
+                WriteOutcome::Applied => return Ok(current.map(|(version, _)| *version)),
                 WriteOutcome::Conflict => return Ok(None),
                 WriteOutcome::Missing => {
                     if self.write(State::Abandoned, expected).await.is_ok() {
@@ -140,14 +144,16 @@
                     }
                 }
             }
-            self.context.clock.sleep(PAUSE).await;
+            self.context.clock.sleep(RETRY_DELAY).await;
         }
-        // Nothing was dispatched and nothing will be: whoever finds the record standing refuses.
+        // The call was not dispatched. If the record was written, later requests with this key are
+        // refused.
         Err(unavailable("it cannot be told whether the record was written"))
     }
 
     async fn read(&self) -> Result<Option<(u64, Record)>, Refusal> {
-        let row = self.context.table.get(&self.key).await.map_err(|error| unavailable(&error.to_string()))?;
+        let row =
+            self.context.table.get(&self.row_key).await.map_err(|error| unavailable(&error.to_string()))?;
         let Some(Row { version, value: Some(value), .. }) = row else { return Ok(None) };
         let record = serde_json::from_value(value).map_err(|error| unavailable(&error.to_string()))?;
         Ok(Some((version, record)))
@@ -155,41 +161,40 @@
 
     async fn write(&self, state: State, expected: u64) -> Result<u64, TableError> {
         let record = Record { digest: self.digest.clone(), token: self.token, state };
-        let write = Write { key: self.key.clone(), expected: Some(expected), value: Some(json!(record)) };
+        let write = Write { key: self.row_key.clone(), expected: Some(expected), value: Some(json!(record)) };
         self.context.table.commit(&Transaction { writes: vec![write] }).await
     }
 
-    /// Records an outcome over our record, which stands at `version`.
-    ///
-    /// Guards against a write that was taken for lost and lands late, when the next request under
-    /// this key has long run: unconditional, it would make the call look as if it had not.
+    /// Records the outcome, provided that the record is still at `version`. An unconditional write
+    /// that is delayed could overwrite the record of a later request with the same key.
     async fn finish(&self, version: u64, state: State) {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_TRIES {
             match self.write(state.clone(), version).await {
-                // Nobody else writes over a started record: an earlier try of ours has landed.
+                // No other request overwrites a `Started` record, so a conflict means that an earlier
+                // attempt of this loop was applied.
                 Ok(_) | Err(TableError::Conflict(_)) => return,
                 Err(error) => {
-                    spdlog::warn!("outcome not recorded yet: {error}", kv: { row = self.key.as_str() })
+                    spdlog::warn!("cannot record the outcome of a call, retrying: {error}", kv: { row = self.row_key.as_str() })
                 }
             }
-            self.context.clock.sleep(PAUSE).await;
+            self.context.clock.sleep(RETRY_DELAY).await;
         }
-        spdlog::error!("outcome not recorded", kv: { row = self.key.as_str() });
+        spdlog::error!("giving up on recording the outcome of a call", kv: { row = self.row_key.as_str() });
     }
 
-    async fn failed(&self, version: u64, failure: stages::Failure) -> Refusal {
+    async fn record_failure(&self, version: u64, failure: stages::Failure) -> Refusal {
         match failure {
-            // The agent confirmed, or nothing was sent: the call never runs, so it may be made again.
+            // The call was not sent, or the agent confirmed that it will not run. It may be repeated.
             stages::Failure::Refused(refusal) if refusal.not_run => {
                 self.finish(version, State::Abandoned).await;
                 refusal
             }
-            stages::Failure::Full { retry_after, .. } => {
+            stages::Failure::Overloaded { retry_after, .. } => {
                 self.finish(version, State::Abandoned).await;
                 let refusal = Refusal::not_run(Code::Overloaded, "the service has no room");
-                refusal.with_retry_after(retry_after.max(PAUSE))
+                refusal.with_retry_after(retry_after.max(RETRY_DELAY))
             }
-            stages::Failure::Refused(_) | stages::Failure::Broken { .. } => {
+            stages::Failure::Refused(_) | stages::Failure::Interrupted { .. } => {
                 self.finish(version, State::Unknown).await;
                 idempotency::refuse_unknown_outcome()
             }
@@ -197,7 +202,7 @@
     }
 }
 
-fn unavailable(why: &str) -> Refusal {
-    let message = format!("the record of the call cannot be written, so it was not sent: {why}");
+fn unavailable(reason: &str) -> Refusal {
+    let message = format!("the record of the call cannot be written, so it was not sent: {reason}");
     Refusal::not_run(Code::RecordUnavailable, message).with_retry_after(Duration::from_secs(1))
 }
