--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Settings shared by all roles, before validation.
+/// Settings shared by all roles
 #[derive(Clone, Debug, Bpaf)]
 pub struct Common {
     /// Name of this process, unique in the fleet
@@ -95,7 +95,7 @@
     pub check: bool,
 }
 
-/// Settings of an entry, before validation.
+/// Settings of an entry
 #[derive(Clone, Debug, Bpaf)]
 pub struct EntryOptions {
     /// Listen address for other entries
@@ -133,7 +133,7 @@
     pub operator_token: Option<String>,
 }
 
-/// Settings of an agent, before validation.
+/// Settings of an agent
 #[derive(Clone, Debug, Bpaf)]
 pub struct AgentOptions {
     /// Names of the endpoints that the agent manages, separated by commas
@@ -141,7 +141,7 @@
     pub fronts: String,
 }
 
-/// Settings of a gateway, before validation.
+/// Settings of a gateway
 #[derive(Clone, Debug, Bpaf)]
 pub struct GatewayOptions {
     /// Listen address for digests from other gateways
