--- a/crates/operator/src/log.rs
+++ b/crates/operator/src/log.rs
@@ -6,7 +6,7 @@
 use serde_json::{Map, Value};
 
 /// A timeline includes related lines from this long before the first to this long after the last line of the
-/// request. Longer than the time until the lease of a crashed endpoint expires.
+/// request. Longer than the time until the registration of a crashed endpoint expires.
 const CONTEXT_MS: u64 = 5_000;
 
 /// A line of a daemon's log.
