--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -72,7 +72,7 @@
                 if let Some(PeerReply::Heartbeat(heartbeat)) =
                     context.peers.exchange(&address, &context.name, peer_request).await
                 {
-                    context.current.heard(&name, &heartbeat);
+                    context.current.record_heartbeat(&name, &heartbeat);
                 }
             });
         }
