--- a/crates/daemon/src/agent.rs
+++ b/crates/daemon/src/agent.rs
@@ -1,6 +1,6 @@
 //! The agent role: runs next to endpoints and is the only process that starts work on them.
 
-mod control;
+mod controller;
 mod handle;
 mod metrics;
 mod server;
@@ -44,7 +44,7 @@
         let common = settings.common;
         let current = Arc::new(Current::new(clock.clone()));
         let metrics = Metrics::new();
-        let control = control::start(settings.endpoints, clock.clone(), current.clone(), metrics.clone())
+        let control = controller::start(settings.endpoints, clock.clone(), current.clone(), metrics.clone())
             .map_err(StartError::Thread)?;
         let (address, link_server) = server::serve(common.listen, control.clone(), current.clone())?;
         let admin_server = bind("admin", common.admin).await?;
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -7,13 +7,13 @@
 mod caller;
 mod context;
 mod control;
+mod controller;
 mod exchange;
 mod homes;
 mod links;
 mod metrics;
 mod once;
 mod operators;
-mod owner;
 mod peers;
 mod request;
 mod stages;
@@ -33,7 +33,7 @@
     StartError,
     agent::bind,
     config::EntrySettings,
-    entry::{context::Context, links::Links, metrics::Metrics, owner::Setup, peers::Peers},
+    entry::{context::Context, controller::Setup, links::Links, metrics::Metrics, peers::Peers},
     settings::Current,
 };
 
@@ -79,7 +79,7 @@
             peers: peers.clone(),
             home_refresh,
         };
-        let control = owner::start(setup).map_err(StartError::Thread)?;
+        let control = controller::start(setup).map_err(StartError::Thread)?;
         let links = Links::new(common.name.clone(), control.clone(), current.clone());
         let context = Arc::new(Context {
             name: common.name,
--- a/crates/daemon/src/entry/owner.rs
+++ b/crates/daemon/src/entry/controller.rs
@@ -56,13 +56,13 @@
 pub(crate) fn start(setup: Setup) -> io::Result<Control> {
     let (commands, receiver) = async_channel::unbounded();
     let control = Control::new(commands, setup.identity.incarnation);
-    let owner = Owner::new(setup, control.clone());
-    thread::Builder::new().name("control".into()).spawn(move || task::block_on(owner.run(receiver)))?;
+    let controller = Controller::new(setup, control.clone());
+    thread::Builder::new().name("control".into()).spawn(move || task::block_on(controller.run(receiver)))?;
     Ok(control)
 }
 
-/// State owned by the thread.
-struct Owner {
+/// State owned by the control thread.
+struct Controller {
     own_name: Arc<str>,
     /// Borrower name in loan requests. It includes the incarnation, so that a restarted process is a
     /// different borrower.
@@ -93,7 +93,7 @@
     prefill_speed: Option<f64>,
 }
 
-impl Owner {
+impl Controller {
     fn new(setup: Setup, control: Control) -> Self {
         let Setup { identity, policy, clock, current, peers, home_refresh } = setup;
         let Identity { name, peer, zone, incarnation } = identity;
