--- a/crates/core/src/agent.rs
+++ b/crates/core/src/agent.rs
@@ -50,7 +50,7 @@
     },
     /// The agent shuts down and accepts no new work.
     Leave,
-    /// Periodic timer; drops expired tombstones.
+    /// Periodic timer; drops expired tombstones, holds and queued work, and starts delayed work.
     Tick,
 }
 
@@ -309,8 +309,8 @@
         }
     }
 
-    /// Cancels an attempt. The tombstone keeps "not run" true if another order of the attempt is
-    /// still in flight on a different connection.
+    /// Cancels an attempt. The tombstone refuses orders of the attempt that are still in flight on
+    /// another connection, so that a reply of "not run" stays true.
     fn cancel(&mut self, now: Time, link: Link, attempt: Attempt, actions: &mut Vec<Action>) {
         self.tombstones.insert(attempt, now.plus(TOMBSTONE_TTL));
         let mut started = false;
--- a/crates/core/src/agent/scheduler.rs
+++ b/crates/core/src/agent/scheduler.rs
@@ -34,7 +34,7 @@
 const INITIAL_OUTPUT_RATIO: f64 = 1.0;
 /// Weight of the newest sample in the exponential moving averages.
 const AVERAGE_WEIGHT: f64 = 0.2;
-/// How far in advance memory that is still in use may be promised; about the length of a prefill,
+/// How far in advance memory that is still in use may be promised. About the duration of a prefill,
 /// so that the memory and the prefill result become available together.
 const PROMISE_HORIZON: Duration = Duration::from_millis(300);
 
@@ -164,11 +164,13 @@
         }
     }
 
+    /// Decides on the admission of new work. Only prefills are refused or late, and only once the
+    /// prefill rate is known.
     fn admission(&self, now: Time, work: &Work, task: &Task) -> Admission {
         let (Task::Prefill { .. }, Some(rate)) = (task, self.prefill_rate) else { return Admission::OnTime };
         let own = u64::from(work.prompt_tokens);
-        let before = self.remaining_prefill_tokens(now, rate) + own;
-        let ends_in = |tokens: u64| Duration::from_secs_f64((tokens + before) as f64 / rate);
+        let running_and_own = self.remaining_prefill_tokens(now, rate) + own;
+        let ends_in = |queued: u64| Duration::from_secs_f64((queued + running_and_own) as f64 / rate);
         let overrun = ends_in(self.queue.queued_tokens()).saturating_sub(work.timeout);
         if ends_in(self.queue.tokens_ahead(&work.customer, own)) <= work.slack {
             return Admission::OnTime;
@@ -233,7 +235,7 @@
             .imports
             .iter()
             .filter(|import| matches(import.work.attempt, import.link))
-            .map(|i| i.work.attempt)
+            .map(|import| import.work.attempt)
             .collect();
         self.imports.retain(|import| !matches(import.work.attempt, import.link));
         let mut started = !imports.is_empty();
@@ -243,7 +245,7 @@
                 abort(name, *attempt, active, actions);
             }
         }
-        let idle: Vec<Attempt> = self
+        let inactive: Vec<Attempt> = self
             .ledger
             .claims()
             .map(|(attempt, ..)| attempt)
@@ -253,7 +255,7 @@
                     || self.hold_links.get(attempt).is_some_and(|link| matches(*attempt, *link))
             })
             .collect();
-        for attempt in idle {
+        for attempt in inactive {
             self.ledger.release(attempt);
             self.hold_links.remove(&attempt);
         }
@@ -356,6 +358,7 @@
         for job in granted {
             let attempt = job.work.attempt;
             self.hold_links.insert(attempt, job.link);
+            // Repeats the hold granted above, only to get its delay.
             let hold = self.ledger.hold(now, attempt, job.pieces(), job.expires, None);
             let Hold::Granted(ready_in) = hold else { continue };
             actions.push(Action::Send(job.link, Event::Held { attempt, ready_in }));
--- a/crates/core/src/home.rs
+++ b/crates/core/src/home.rs
@@ -107,8 +107,8 @@
     observed_at: Time,
 }
 
-/// A compare-and-set for the caller to execute. Its outcome is learned by reading the row again, so
-/// a lost reply needs no special handling.
+/// A compare-and-set for the caller to execute. The next read of the row shows whether it was
+/// applied, so a lost reply needs no special handling.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Write {
     /// Table key.
@@ -308,7 +308,7 @@
         Some(self.shards.get(&shard(customer))?.row.successor.clone())
     }
 
-    /// Answers a loan request if this entry is the customer's home.
+    /// Answers a loan request, or rejects it if this entry is not the customer's home.
     pub fn lend(
         &mut self,
         now: Time,
@@ -456,8 +456,8 @@
         let is_first = ranked.first() == Some(&self.name);
         let is_successor = match live.contains(&row.successor) {
             true => row.successor == self.name,
-            // Without a successor, only the table can have renewed the owner's lease, so that it now
-            // lends half.
+            // Without a successor, only the table can renew the owner's lease, so an owner whose lease
+            // has expired lends only half of its share.
             false if row.successor.is_empty() => is_first,
             // Both leases have expired in the table, but the two may still renew each other behind a
             // network partition. A third entry takes over only if both hosts are listed as removed.
--- a/crates/core/src/memory.rs
+++ b/crates/core/src/memory.rs
@@ -107,7 +107,7 @@
         Hold::Granted(ready.since(now))
     }
 
-    /// Returns when `pieces` are expected to be free beyond all claims, if within `horizon`.
+    /// Returns when `pieces` more than all claims are expected to be free, if within `horizon`.
     fn ready_at(&self, now: Time, pieces: u32, horizon: Duration) -> Option<Time> {
         let claimed: u32 = self.claims.values().map(|claim| claim.pieces).sum();
         let mut missing = (claimed + pieces).saturating_sub(self.capacity);
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -52,9 +52,9 @@
     }
 }
 
-/// Age at which a load report is ignored.
+/// Age from which a load report is ignored.
 const STALE_AFTER: Duration = Duration::from_secs(5);
-/// A load report may not include work sent less than this before it arrives.
+/// Work sent less than this before a load report arrives may be missing from the report.
 const REPORT_LAG: Duration = Duration::from_millis(10);
 /// Random candidates whose scores are compared.
 const MAX_CANDIDATES: usize = 3;
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug, Default)]
 struct EndpointState {
     load: Option<(Load, Time)>,
-    /// Work sent by this entry that the last report may not include.
+    /// Work sent by this entry that may be missing from the last report.
     sent: BTreeMap<Attempt, Sent>,
     /// Set when the endpoint refuses work as overloaded.
     avoid_until: Time,
@@ -243,7 +243,7 @@
 
     fn record_prefix(&mut self, prefix: u64, name: &Arc<str>) {
         if self.prefixes.len() >= MAX_PREFIXES {
-            // Digests are uniformly distributed, so the first key is a random entry.
+            // Digests are uniformly distributed, so the lowest one is a random choice.
             self.prefixes.pop_first();
         }
         self.prefixes.insert(prefix, name.clone());
@@ -265,6 +265,8 @@
     }
 }
 
+/// Returns the cost of an endpoint with the reported `load`, and `pieces` and `tokens` sent since.
+/// For decodes, the share of occupied memory in thousandths plus a smaller part for queued tokens.
 fn cost(load: &Load, pieces: u32, tokens: u64, need: Need) -> u64 {
     match need {
         Need::Decode(_) => {
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -33,7 +33,7 @@
 const PREFETCH_DIVISOR: u64 = 8;
 /// Window over which the spend rate is computed.
 const SPEND_WINDOW: Duration = Duration::from_millis(500);
-/// Delay before the next request if the home could not be reached.
+/// Delay before the next request after a failed one.
 const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Unspent tokens are returned to the home this long before they expire.
 const RETURN_BEFORE_EXPIRY: Duration = Duration::from_millis(1_500);
@@ -313,7 +313,7 @@
     sent_at: Option<Time>,
     /// Earliest time of the next request.
     retry_at: Time,
-    /// Whether the last request failed to reach the home.
+    /// Whether the last request to the home failed.
     home_unreachable: bool,
     /// Tokens spent since `window_start`.
     spent: u64,
@@ -444,7 +444,7 @@
         late.into_iter().map(|waiter| Admission::OverRate(waiter.request, retry_after)).collect()
     }
 
-    /// Records that request `serial` did not reach the home.
+    /// Records that request `serial` got no grant, as the home was unreachable or has changed.
     pub fn record_failure(&mut self, now: Time, serial: u64) {
         if serial == self.serial {
             self.sent_at = None;
--- a/crates/core/tests/home.rs
+++ b/crates/core/tests/home.rs
@@ -225,7 +225,7 @@
     assert_eq!(cluster.borrow_all(&owner), BURST);
 }
 
-/// Holds although the lease row in the table is not renewed.
+/// A granted renewal counts although the lease row of the owner in the table expires.
 #[test]
 fn successor_does_not_take_over_after_granting_a_renewal() {
     let mut cluster = Cluster::new(&["a", "b", "c"]);
@@ -285,7 +285,7 @@
     assert!(cluster.borrow_all("b") <= 6 * RATE);
 }
 
-/// The replacement joins under a new name.
+/// The new entry has another name, so nothing shows that the crashed entry has terminated.
 #[test]
 fn next_entry_to_join_takes_over_from_a_crashed_lone_entry() {
     let mut cluster = Cluster::new(&["a"]);
--- a/crates/core/tests/idempotency.rs
+++ b/crates/core/tests/idempotency.rs
@@ -9,8 +9,7 @@
     Record { digest: "d".into(), token: Request(token), state }
 }
 
-/// Guards against executing a call twice because its 128-bit token does not fit a JSON number and the
-/// record is not stored.
+/// Guards against a token stored as a JSON number, which cannot hold 128 bits.
 #[test]
 fn record_round_trips_through_json() {
     let record = record(u128::MAX, State::Answered { status: 200, body: "{}".into() });
