--- a/crates/daemon/src/agent.rs
+++ b/crates/daemon/src/agent.rs
@@ -25,7 +25,7 @@
 
 /// The table is not polled while heartbeats confirm that the settings are at most this old.
 const MAX_UNPOLLED_AGE: Duration = Duration::from_secs(6);
-/// How often a shutdown checks whether all work has ended.
+/// Interval at which a shutdown checks for remaining work.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
 /// A running agent.
@@ -50,7 +50,7 @@
         let admin_server = bind("admin", common.admin).await?;
         let admin = admin_server.address();
         let mut tasks = vec![link_server];
-        tasks.push(task::spawn(watch_settings(current.clone(), common.table, common.poll, control.clone())));
+        tasks.push(task::spawn(follow_settings(current.clone(), common.table, common.poll, control.clone())));
         let handler_control = control.clone();
         tasks.push(task::spawn(admin_server.serve(move |inbound| {
             handle(inbound, handler_control.clone(), current.clone(), metrics.clone())
@@ -94,7 +94,7 @@
     server.map_err(|error| StartError::Listen { setting, address: address.to_string(), error })
 }
 
-async fn watch_settings(current: Arc<Current>, table: SocketAddr, poll: Duration, control: Control) {
+async fn follow_settings(current: Arc<Current>, table: SocketAddr, poll: Duration, control: Control) {
     let table = HttpTable::new(table);
     current
         .follow(&table, poll, Some(MAX_UNPOLLED_AGE), |snapshot| control.input(Input::Settings(snapshot)))
--- a/crates/daemon/src/agent/controller.rs
+++ b/crates/daemon/src/agent/controller.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     agent::{
-        handle::{Command, Control, LINK_BACKLOG},
+        handle::{Command, Control, MAX_QUEUED_EVENTS},
         metrics::Metrics,
         work::Workers,
     },
@@ -119,7 +119,7 @@
     /// slow entry uses.
     fn send(&mut self, link: Link, event: Event) {
         let Some(events) = self.links.get(&link) else { return };
-        if events.len() >= LINK_BACKLOG || events.try_send(event).is_err() {
+        if events.len() >= MAX_QUEUED_EVENTS || events.try_send(event).is_err() {
             events.close();
         }
     }
--- a/crates/daemon/src/agent/handle.rs
+++ b/crates/daemon/src/agent/handle.rs
@@ -10,7 +10,7 @@
 
 /// Maximum number of queued events of a link. The channel is unbounded, because a bounded one allocates
 /// its whole capacity in advance.
-pub(crate) const LINK_BACKLOG: usize = 65_536;
+pub(crate) const MAX_QUEUED_EVENTS: usize = 65_536;
 
 /// A command to the control thread.
 pub(crate) enum Command {
--- a/crates/daemon/src/agent/server.rs
+++ b/crates/daemon/src/agent/server.rs
@@ -25,12 +25,12 @@
 
 use crate::{StartError, agent::handle::Control, settings::Current};
 
-/// Default and minimum interval of heartbeats on a link.
-const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// Heartbeat intervals, plus [`TIMEOUT_MARGIN`], after which a silent link is closed.
-const TIMEOUT_INTERVALS: u32 = 2;
-/// Added to the timeout of a link to allow for scheduling delays.
-const TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
+/// Minimum interval between heartbeats on a link; used until the entry requests another.
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// Heartbeats that may be missed before a link is closed.
+const MAX_MISSED_HEARTBEATS: u32 = 2;
+/// Extra time before a silent link is closed, to allow for scheduling delays.
+const SILENCE_MARGIN: Duration = Duration::from_secs(1);
 
 /// Starts the link server; returns its address and task.
 pub(crate) fn serve(
@@ -39,7 +39,8 @@
     current: Arc<Current>,
 ) -> Result<(SocketAddr, JoinHandle<()>), StartError> {
     let (incoming, address) = listen("listen", address)?;
-    let service = agent_server::AgentServer::new(Links { control, current, next_link: AtomicU64::new(1) });
+    let service =
+        agent_server::AgentServer::new(LinkService { control, current, next_link: AtomicU64::new(1) });
     let task = task::spawn(async move {
         if let Err(error) = Server::builder().add_service(service).serve_with_incoming(incoming).await {
             spdlog::error!("link server failed: {error}");
@@ -57,7 +58,7 @@
     tarragonhill_wire::listen(address).map_err(failed)
 }
 
-struct Links {
+struct LinkService {
     control: Control,
     current: Arc<Current>,
     next_link: AtomicU64,
@@ -66,7 +67,7 @@
 type Events = Pin<Box<dyn Stream<Item = Result<proto::Event, Status>> + Send>>;
 
 #[tonic::async_trait]
-impl agent_server::Agent for Links {
+impl agent_server::Agent for LinkService {
     type LinkStream = Events;
 
     async fn link(&self, request: Request<Streaming<proto::Order>>) -> Result<Response<Events>, Status> {
@@ -98,7 +99,7 @@
     }
 
     fn get(&self) -> Duration {
-        Duration::from_micros(self.0.load(Ordering::Relaxed)).max(HEARTBEAT_INTERVAL)
+        Duration::from_micros(self.0.load(Ordering::Relaxed)).max(MIN_HEARTBEAT_INTERVAL)
     }
 }
 
@@ -112,7 +113,7 @@
     interval: &Interval,
 ) {
     loop {
-        let limit = interval.get() * TIMEOUT_INTERVALS + TIMEOUT_MARGIN;
+        let limit = interval.get() * MAX_MISSED_HEARTBEATS + SILENCE_MARGIN;
         let Ok(Some(Ok(order))) = async_std::future::timeout(limit, orders.next()).await else { return };
         match Order::try_from(order) {
             Ok(Order::Heartbeat(heartbeat)) => {
--- a/crates/daemon/src/agent/work.rs
+++ b/crates/daemon/src/agent/work.rs
@@ -17,13 +17,14 @@
 };
 use tarragonhill_engine::{Engine, EngineError, HttpEngine, Sink};
 
-use crate::agent::handle::{Control, LINK_BACKLOG, work_id};
+use crate::agent::handle::{Control, MAX_QUEUED_EVENTS, work_id};
 
 type TaskKey = (Attempt, Arc<str>);
 
 /// Running tasks of one agent.
 pub(crate) struct Workers {
     control: Control,
+    /// Clients by engine address.
     engines: BTreeMap<Arc<str>, Arc<dyn Engine>>,
     running: Arc<Mutex<BTreeMap<TaskKey, JoinHandle<()>>>>,
 }
@@ -147,7 +148,7 @@
     fn token(&self, index: u32, text: Arc<str>) -> Pin<Box<dyn Future<Output = ()> + Send + '_>> {
         let event = Event::Tokens { attempt: self.attempt, first_index: index, texts: vec![text] };
         Box::pin(async move {
-            if self.events.len() >= LINK_BACKLOG || self.events.send(event).await.is_err() {
+            if self.events.len() >= MAX_QUEUED_EVENTS || self.events.send(event).await.is_err() {
                 self.events.close();
             }
         })
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -108,11 +108,11 @@
         ];
         let admin_context = context.clone();
         tasks.push(task::spawn(
-            admin_server.serve(move |inbound| operators::answer(admin_context.clone(), inbound)),
+            admin_server.serve(move |inbound| operators::handle(admin_context.clone(), inbound)),
         ));
         let request_context = context.clone();
         let accept_task =
-            task::spawn(caller_server.serve(move |inbound| caller::answer(request_context.clone(), inbound)));
+            task::spawn(caller_server.serve(move |inbound| caller::handle(request_context.clone(), inbound)));
         spdlog::info!("entry started", kv: { name = &*context.name, listen = address.to_string().as_str() });
         Ok(Self { address, admin, context, drain: common.drain, tasks, caller_closer: closer, accept_task })
     }
@@ -164,9 +164,9 @@
 
 async fn follow_settings(context: Arc<Context>, poll: Duration) {
     let current = context.current.clone();
-    let adopted = |snapshot: Arc<Snapshot>| {
+    let on_change = |snapshot: Arc<Snapshot>| {
         context.links.set_agents(&snapshot);
         context.control.update_settings(snapshot);
     };
-    current.follow(&*context.table, poll, None, adopted).await;
+    current.follow(&*context.table, poll, None, on_change).await;
 }
--- a/crates/daemon/src/entry/caller.rs
+++ b/crates/daemon/src/entry/caller.rs
@@ -14,8 +14,9 @@
 
 /// Path prefix of plain services.
 const SERVICE_PREFIX: &str = "/v1/services/";
+
 /// Serves one HTTP request of a caller.
-pub(crate) async fn answer(context: Arc<Context>, mut inbound: Inbound) -> Outbound {
+pub(crate) async fn handle(context: Arc<Context>, mut inbound: Inbound) -> Outbound {
     let request = new_request_id();
     let _guard = context.track_running();
     match route(&context, request, &mut inbound).await {
--- a/crates/daemon/src/entry/control.rs
+++ b/crates/daemon/src/entry/control.rs
@@ -70,20 +70,29 @@
 /// Command to the control thread.
 pub(crate) enum Command {
     Settings(Arc<Snapshot>),
+    /// Customer and request.
     Admit(Arc<str>, Waiter, Sender<Admission>),
+    /// Customer and tokens.
     Refund(Arc<str>, u64),
     CancelAdmission(Arc<str>, Request),
     Place(PlacementRequest, Sender<Option<Target>>),
     RemoveSent(Arc<str>, Attempt),
+    /// Endpoint and duration.
     Avoid(Arc<str>, Duration),
+    /// Prompt tokens and duration.
     RecordPrefill(u32, Duration),
     Loads(Vec<Load>),
     SetLinkUp(Vec<Arc<str>>, bool),
+    /// Customer and endpoint.
     RecordSuccess(Arc<str>, Arc<str>),
     SpendRetry(RetryRequest, Sender<bool>),
+    /// Customer, fingerprint and whether to record a crash first.
     CrashStatus(Arc<str>, u64, bool, Sender<CrashStatus>),
+    /// Customer and fingerprint.
     ClearSuspect(Arc<str>, u64),
+    /// Name of the requesting entry, and its request.
     AnswerPeer(Arc<str>, PeerRequest, Sender<PeerReply>),
+    /// Customer, serial of the loan request and the grant.
     LoanReply(Arc<str>, u64, Option<Grant>),
     PrepareRenewal(Sender<home::Write>),
     ExtendLease(Time),
@@ -198,8 +207,8 @@
         self.call(|reply| Command::AnswerPeer(from, request, reply)).await
     }
 
-    /// Passes on a home's reply to a loan request; `None` if the home could not be reached or has
-    /// moved.
+    /// Passes on a home's reply to a loan request; `None` if the home could not be reached or is
+    /// another entry now.
     pub(crate) fn receive_loan(&self, customer: &Arc<str>, serial: u64, grant: Option<Grant>) {
         self.send(Command::LoanReply(customer.clone(), serial, grant));
     }
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -43,9 +43,9 @@
         let body = request.body.ok_or_else(|| Status::invalid_argument("empty request"))?;
         let peer_request =
             PeerRequest::try_from(body).map_err(|error| Status::invalid_argument(error.to_string()))?;
-        let answer = self.0.control.answer_peer(request.entry.into(), peer_request).await;
-        let answer = answer.ok_or_else(|| Status::unavailable("stopping"))?;
-        Ok(Response::new(answer.into()))
+        let reply = self.0.control.answer_peer(request.entry.into(), peer_request).await;
+        let reply = reply.ok_or_else(|| Status::unavailable("stopping"))?;
+        Ok(Response::new(reply.into()))
     }
 }
 
--- a/crates/daemon/src/entry/operators.rs
+++ b/crates/daemon/src/entry/operators.rs
@@ -24,7 +24,7 @@
 }
 
 /// Serves one HTTP request at the admin address.
-pub(crate) async fn answer(context: Arc<Context>, inbound: Inbound) -> Outbound {
+pub(crate) async fn handle(context: Arc<Context>, inbound: Inbound) -> Outbound {
     let ready = context.check_serving().is_ok();
     if let Some(outbound) = admin::handle_common(&inbound, context.metrics.registry(), ready) {
         return outbound;
@@ -142,7 +142,7 @@
     let record = json!({"outcome": "confirmed", "version": plan.version + 1});
     writes.push(Write { key: plan.record_key(), expected: Some(0), value: Some(record) });
     match context.table.commit(&Transaction { writes }).await {
-        Ok(_) => confirmed(context, plan.version + 1).await,
+        Ok(_) => respond_confirmed(context, plan.version + 1).await,
         Err(TableError::Conflict(_)) => {
             let err = "the settings moved on while the plan was confirmed; nothing was changed by this confirm, \
                        unless it was confirmed before: ask for the plan's id";
@@ -158,9 +158,9 @@
     }
 }
 
-async fn confirmed(context: &Context, version: u64) -> Outbound {
-    // Applies the change here before the reply is sent. Other processes learn of it by heartbeats and
-    // polls.
+async fn respond_confirmed(context: &Context, version: u64) -> Outbound {
+    // Applies the change here before the reply is sent. Other processes apply it after a heartbeat or
+    // poll.
     let _ = context.current.refresh(&*context.table).await;
     context.current.request_refresh();
     Outbound::json(200, &json!({"outcome": "confirmed", "version": version}))
@@ -172,20 +172,20 @@
     let key = format!("{}{id}", tarragonhill_core::plan::PREFIX);
     for _ in 0..2 {
         match context.table.get(&key).await {
-            Ok(Some(row)) => return Outbound::json(200, &outcome(context, row.value.unwrap_or_default())),
+            Ok(Some(row)) => return Outbound::json(200, &annotate(context, row.value.unwrap_or_default())),
             Ok(None) => {}
             Err(err) => return error(503, "table_unavailable", &err.to_string()),
         }
         let tombstone = json!({"outcome": "not_confirmed"});
         let write = Write { key: key.clone(), expected: Some(0), value: Some(tombstone) };
-        // The result is ignored: the next read finds the record, whoever wrote it.
+        // The result is ignored: the next read shows whether there is a record now.
         let _ = context.table.commit(&Transaction { writes: vec![write] }).await;
     }
     error(503, "unknown", "the table does not tell yet; ask again")
 }
 
-/// Adds the processes that have not applied the plan's version yet.
-fn outcome(context: &Context, mut record: Value) -> Value {
+/// Adds to a plan's record the peers that have not applied its version yet.
+fn annotate(context: &Context, mut record: Value) -> Value {
     if let Some(version) = record["version"].as_u64() {
         record["not_in_force_at"] =
             json!(context.current.freshness(|freshness| freshness.peers_behind(version)));
--- a/crates/daemon/src/entry/stages/answer.rs
+++ b/crates/daemon/src/entry/stages/answer.rs
@@ -15,7 +15,7 @@
     /// One or more tokens are missing.
     Gap,
     /// The caller has disconnected.
-    CallerLeft,
+    CallerDisconnected,
 }
 
 /// An answer in progress, either collected or streamed.
@@ -116,11 +116,11 @@
             Some(sender) => sender,
             None => {
                 let (outbound, sender) = Outbound::stream(200, "text/event-stream");
-                head.send(outbound).await.map_err(|_| TokenError::CallerLeft)?;
+                head.send(outbound).await.map_err(|_| TokenError::CallerDisconnected)?;
                 body.insert(sender)
             }
         };
-        sender.send(Ok(chunk.into_bytes())).await.map_err(|_| TokenError::CallerLeft)
+        sender.send(Ok(chunk.into_bytes())).await.map_err(|_| TokenError::CallerDisconnected)
     }
 
     /// Ends a complete answer. Returns the response, or `None` if it was streamed.
--- a/crates/daemon/src/entry/stages/complete.rs
+++ b/crates/daemon/src/entry/stages/complete.rs
@@ -37,7 +37,7 @@
     let output = Output::buffered(context, info.request, info.arrived);
     let disconnected = async {
         watch.disconnected().await;
-        Err(Some(caller_left()))
+        Err(Some(caller_disconnected()))
     };
     let outbound = serve(context, info, &completion, output).or(disconnected).await;
     match outbound {
@@ -62,7 +62,7 @@
         let output = Output::stream(&context, info.request, info.arrived, head_sender);
         let disconnected = async {
             watch.disconnected().await;
-            Err(Some(caller_left()))
+            Err(Some(caller_disconnected()))
         };
         if let Err(Some(refusal)) = serve(&context, info, &completion, output).or(disconnected).await {
             let _ = refusal_sender.try_send(refusal);
@@ -79,11 +79,11 @@
         Ok(outbound) => Ok(outbound),
         Err(Some(refusal)) => Err(refusal),
         // The sender of the head is dropped just before the refusal is sent.
-        Err(None) => refusal_receiver.recv().await.map_or_else(|_| Err(caller_left()), Err),
+        Err(None) => refusal_receiver.recv().await.map_or_else(|_| Err(caller_disconnected()), Err),
     }
 }
 
-fn caller_left() -> Refusal {
+fn caller_disconnected() -> Refusal {
     Refusal::may_have_run(Code::Cancelled, "the caller left")
 }
 
@@ -102,6 +102,7 @@
     Ok(())
 }
 
+/// Response or refusal to return to the caller; `None` if it was streamed already.
 type ServeResult = Result<Option<Outbound>, Option<Refusal>>;
 
 async fn serve(
@@ -129,7 +130,7 @@
             if info.suspect {
                 context.control.clear_suspect(&info.key.customer, fingerprint);
             }
-            output.finish().await.map_err(|_| Some(caller_left()))
+            output.finish().await.map_err(|_| Some(caller_disconnected()))
         }
         Err(refusal) => Err(output.abort(refusal).await),
     }
@@ -215,7 +216,7 @@
             Err(Failure::Interrupted { endpoint, cause }) => {
                 history.has_run = true;
                 history.failures += 1;
-                may_retry(context, info, fingerprint, &endpoint, history.failures, cause).await?;
+                check_retry(context, info, fingerprint, &endpoint, history.failures, cause).await?;
                 context.metrics.retries.inc();
                 info.waiting_since = context.clock.now();
                 history.tried.insert(endpoint);
@@ -224,9 +225,9 @@
     }
 }
 
-/// Returns an error if a failed request must not be retried: it has been quarantined, or the retry
-/// budget of its customer or of the endpoint is exhausted.
-async fn may_retry(
+/// Checks whether a failed request may be retried, and if so, deducts the retry from the budgets.
+/// Returns an error if the request has become quarantined or a budget is exhausted.
+async fn check_retry(
     context: &Arc<Context>,
     info: &mut RequestInfo,
     fingerprint: u64,
--- a/crates/daemon/src/entry/stages/decode.rs
+++ b/crates/daemon/src/entry/stages/decode.rs
@@ -66,6 +66,6 @@
 fn token_failure(error: TokenError, endpoint: &std::sync::Arc<str>) -> Failure {
     match error {
         TokenError::Gap => Failure::Interrupted { endpoint: endpoint.clone(), cause: FailureCause::Crashed },
-        TokenError::CallerLeft => Refusal::may_have_run(Code::Cancelled, "the caller left").into(),
+        TokenError::CallerDisconnected => Refusal::may_have_run(Code::Cancelled, "the caller left").into(),
     }
 }
