--- a/crates/core/src/memory.rs
+++ b/crates/core/src/memory.rs
@@ -47,8 +47,8 @@
 
 /// Memory claims on one engine.
 ///
-/// The pieces of held and running claims together never exceed the capacity. Promised claims are
-/// not part of that sum until their decode starts.
+/// The pieces of held and running claims together never exceed the capacity, unless it is reduced.
+/// Promised claims are not part of that sum until their decode starts.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     capacity: u32,
--- a/crates/core/src/plan.rs
+++ b/crates/core/src/plan.rs
@@ -233,6 +233,7 @@
     }
 }
 
+/// Rows to write for an intent, and their impact.
 type Resolved = Result<(Vec<Row>, Impact), PlanError>;
 
 fn check_name(kind: &str, name: &str) -> Result<(), PlanError> {
