--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -34,7 +34,7 @@
     Plan::build("id".into(), &snapshot(), intent, |_| 0)
 }
 
-fn put(burst: u64) -> Intent {
+fn put_customer(burst: u64) -> Intent {
     Intent::PutCustomer { name: "faculty".into(), rate: 10, burst, weight: 1 }
 }
 
@@ -68,19 +68,19 @@
 /// Guards against two operators overwriting each other's changes.
 #[test]
 fn confirming_fails_if_the_version_has_changed() {
-    let planned = plan(put(99)).expect("a plan");
-    let moved = snapshot().apply(8, &[]).expect("newer");
-    let refused = planned.confirm(&moved, &planned.digest());
+    let planned = plan(put_customer(99)).expect("a plan");
+    let changed = snapshot().apply(8, &[]).expect("newer");
+    let refused = planned.confirm(&changed, &planned.digest());
     assert_eq!(refused, Err(PlanError::VersionConflict { planned: 7, current: 8 }));
 }
 
 /// Guards against a plan that is edited between planning and confirmation.
 #[test]
 fn edited_plan_is_not_confirmed() {
-    let planned = plan(put(99)).expect("a plan");
+    let planned = plan(put_customer(99)).expect("a plan");
     let digest = planned.digest();
     let mut edited = planned.clone();
-    edited.intent = put(1_000_000);
+    edited.intent = put_customer(1_000_000);
     assert_eq!(edited.confirm(&snapshot(), &digest), Err(PlanError::DigestMismatch));
     assert_eq!(edited.confirm(&snapshot(), &edited.digest()), Err(PlanError::DigestMismatch));
 }
@@ -95,12 +95,12 @@
 #[test]
 fn invalid_intents_are_refused_with_the_reason() {
     let refused = |intent| plan(intent).expect_err("refused").to_string();
-    assert!(refused(put(0)).contains("burst"));
+    assert!(refused(put_customer(0)).contains("burst"));
     assert!(refused(Intent::DrainHost { host: "nowhere".into() }).contains("nowhere"));
     assert!(refused(Intent::RemoveEndpoint { name: "decode".into() }).contains("drain"));
     let bad = Endpoint { address: "not-an-address".into(), ..endpoint() };
     assert!(refused(Intent::PutEndpoint { name: "e".into(), endpoint: bad }).contains("not-an-address"));
-    assert_eq!(plan(put(20)), Err(PlanError::Unchanged));
+    assert_eq!(plan(put_customer(20)), Err(PlanError::Unchanged));
 }
 
 #[test]
--- a/crates/operator/tests/log.rs
+++ b/crates/operator/tests/log.rs
@@ -23,13 +23,13 @@
 {"level":"info","timestamp":50,"payload":"endpoint","kv":{"change":"seen","endpoint":"i-1"},"tid":9}
 "#;
 
-fn read(source: &str, text: &str) -> Vec<Line> {
+fn parse_lines(source: &str, text: &str) -> Vec<Line> {
     let source: Arc<str> = source.into();
     text.lines().filter_map(|line| Line::parse(&source, line)).collect()
 }
 
 fn lines() -> Vec<Line> {
-    [read("entry-1", FIRST), read("entry-2", SECOND)].concat()
+    [parse_lines("entry-1", FIRST), parse_lines("entry-2", SECOND)].concat()
 }
 
 #[test]
