--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -7,13 +7,13 @@
 mod caller;
 mod context;
 mod control;
+mod controller;
 mod exchange;
 mod homes;
 mod links;
 mod metrics;
 mod once;
 mod operators;
-mod owner;
 mod peers;
 mod request;
 mod stages;
@@ -33,7 +33,7 @@
     StartError,
     agent::bind,
     config::EntrySettings,
-    entry::{context::Context, links::Links, metrics::Metrics, owner::Setup, peers::Peers},
+    entry::{context::Context, controller::Setup, links::Links, metrics::Metrics, peers::Peers},
     settings::Current,
 };
 
@@ -79,7 +79,7 @@
             peers: peers.clone(),
             home_refresh,
         };
-        let control = owner::start(setup).map_err(StartError::Thread)?;
+        let control = controller::start(setup).map_err(StartError::Thread)?;
         let links = Links::new(common.name.clone(), control.clone(), current.clone());
         let context = Arc::new(Context {
             name: common.name,
@@ -108,11 +108,11 @@
         ];
         let admin_context = context.clone();
         tasks.push(task::spawn(
-            admin_server.serve(move |inbound| operators::answer(admin_context.clone(), inbound)),
+            admin_server.serve(move |inbound| operators::handle(admin_context.clone(), inbound)),
         ));
         let request_context = context.clone();
         let accept_task =
-            task::spawn(caller_server.serve(move |inbound| caller::answer(request_context.clone(), inbound)));
+            task::spawn(caller_server.serve(move |inbound| caller::handle(request_context.clone(), inbound)));
         spdlog::info!("entry started", kv: { name = &*context.name, listen = address.to_string().as_str() });
         Ok(Self { address, admin, context, drain: common.drain, tasks, caller_closer: closer, accept_task })
     }
@@ -164,9 +164,9 @@
 
 async fn follow_settings(context: Arc<Context>, poll: Duration) {
     let current = context.current.clone();
-    let adopted = |snapshot: Arc<Snapshot>| {
+    let on_change = |snapshot: Arc<Snapshot>| {
         context.links.set_agents(&snapshot);
         context.control.update_settings(snapshot);
     };
-    current.follow(&*context.table, poll, None, adopted).await;
+    current.follow(&*context.table, poll, None, on_change).await;
 }
