--- a/crates/core/src/gateway/staleness.rs
+++ b/crates/core/src/gateway/staleness.rs
@@ -11,7 +11,7 @@
 /// Versions of a copy of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Versions {
-    /// Order of the configuration; zero if there is none.
+    /// Version of the configuration's row in the store; zero if there is none.
     pub configuration: u64,
     /// Version of the newest endpoint row; zero if there is none.
     pub endpoints: u64,
@@ -70,8 +70,8 @@
     }
 
     /// Records that this replica has read a configuration.
-    pub fn record_configuration(&mut self, now: Time, order: u64) {
-        self.configuration.record_own(now, order);
+    pub fn record_configuration(&mut self, now: Time, version: u64) {
+        self.configuration.record_own(now, version);
     }
 
     /// Records that this replica has read all endpoint rows up to a version.
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -107,7 +107,7 @@
 pub struct State<T> {
     identity: Identity,
     catalog: Option<Arc<Catalog>>,
-    /// Versions read from the store; a larger configuration order is newer.
+    /// Versions read from the store and known to peers.
     staleness: Staleness,
     directory: Directory,
     loads: Loads,
@@ -142,12 +142,12 @@
     }
 
     /// Applies a configuration; returns false if it is not newer than the current one.
-    pub fn apply_catalog(&mut self, now: Time, order: u64, catalog: Arc<Catalog>) -> bool {
-        if self.catalog.is_some() && order <= self.staleness.own().configuration {
+    pub fn apply_catalog(&mut self, now: Time, row_version: u64, catalog: Arc<Catalog>) -> bool {
+        if self.catalog.is_some() && row_version <= self.staleness.own().configuration {
             return false;
         }
         self.rate_limiter.update_customers(now, catalog.customers());
-        self.staleness.record_configuration(now, order);
+        self.staleness.record_configuration(now, row_version);
         self.catalog = Some(catalog);
         true
     }
@@ -444,7 +444,7 @@
     }
 
     /// Records the beginning of an answer.
-    pub fn record_answer(&mut self, now: Time, lease: &Lease) {
+    pub fn record_first_event(&mut self, now: Time, lease: &Lease) {
         let endpoint = self.directory.get(&lease.endpoint);
         let forecast = endpoint.map(|endpoint| self.forecasts.endpoint(now, &endpoint.service, &endpoint.id));
         let pause = forecast.unwrap_or_default().typical_event_interval() * PREFILL_PAUSE_EVENTS;
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -107,7 +107,7 @@
     // The prefill endpoint takes six prompts, the decode endpoint one; the last request waits.
     assert_eq!((pairs.len(), local.len()), (7, 1));
     let mut lease = local[0].decode.lease.clone();
-    state.record_answer(at(200), &lease);
+    state.record_first_event(at(200), &lease);
     lease.clear_prefill();
     assert_eq!(state.dispatch(at(350)).len(), 1);
     state.record_end(at(3_000), &lease, Outcome::Abandoned);
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -209,7 +209,7 @@
             Command::RecordEvents(lease, service, events) => {
                 self.state.record_events(&lease, &service, events)
             }
-            Command::RecordResponse(lease) => self.state.record_answer(now, &lease),
+            Command::RecordResponse(lease) => self.state.record_first_event(now, &lease),
             Command::Release(lease, outcome) => self.state.record_end(now, &lease, outcome),
             Command::RecordFailure(endpoint, fingerprint) => {
                 self.state.record_interrupted(now, &endpoint, fingerprint)
@@ -233,7 +233,7 @@
 
     fn update(&mut self, now: Time, update: Update) {
         match update {
-            Update::Catalog { order, catalog, source } => self.adopt(now, order, catalog, source),
+            Update::Catalog { row_version, catalog, source } => self.adopt(now, row_version, catalog, source),
             Update::Listing(listing) => log_changes(&self.state.apply_listing(now, listing)),
             Update::PeerListing { listing, newest } => {
                 log_changes(&self.state.apply_peer_listing(now, listing, newest));
@@ -260,15 +260,15 @@
     }
 
     /// Activates a configuration, unless it is not newer than the active one.
-    fn adopt(&mut self, now: Time, order: u64, catalog: Arc<Catalog>, source: Arc<[u8]>) {
+    fn adopt(&mut self, now: Time, row_version: u64, catalog: Arc<Catalog>, source: Arc<[u8]>) {
         let (version, routes) = (catalog.version(), catalog.route_count());
-        if !self.state.apply_catalog(now, order, catalog.clone()) {
-            spdlog::info!("outdated configuration ignored", kv: { version, order });
+        if !self.state.apply_catalog(now, row_version, catalog.clone()) {
+            spdlog::info!("outdated configuration ignored", kv: { version, order = row_version });
             return;
         }
         self.source = Some(source);
         lock(&self.weak_control.active).catalog = Some(catalog);
-        spdlog::info!("configuration in force", kv: { version, order, routes });
+        spdlog::info!("configuration in force", kv: { version, order = row_version, routes });
     }
 
     fn dump(&mut self, now: Time) -> serde_json::Value {
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -200,8 +200,8 @@
 pub enum Update {
     /// A configuration was read.
     Catalog {
-        /// Orders configurations; larger is newer.
-        order: u64,
+        /// Version of the configuration's row in the store; larger is newer.
+        row_version: u64,
         /// Decoded configuration.
         catalog: Arc<Catalog>,
         /// Configuration as the store holds it, for peers that cannot reach the store.
--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -136,15 +136,15 @@
 
 fn apply(context: &Context, member: &Member, snapshot: Snapshot) {
     let Snapshot { versions, configuration, listing } = snapshot;
-    let order = versions.configuration;
+    let row_version = versions.configuration;
     spdlog::info!("snapshot fetched from a peer", kv: {
-        peer = &*member.name, order, configuration = configuration.len(), endpoints = listing.rows.len()
+        peer = &*member.name, order = row_version, configuration = configuration.len(), endpoints = listing.rows.len()
     });
     if !configuration.is_empty() {
         match context.dialect.decode_catalog(&configuration) {
             Ok(catalog) => {
                 let catalog = Arc::new(catalog);
-                context.control.update(Update::Catalog { order, catalog, source: configuration });
+                context.control.update(Update::Catalog { row_version, catalog, source: configuration });
             }
             Err(reason) => {
                 spdlog::warn!("invalid configuration ignored", kv: { peer = &*member.name, reason = reason.as_str() });
