--- a/crates/core/src/gateway/lease.rs
+++ b/crates/core/src/gateway/lease.rs
@@ -27,7 +27,7 @@
 
 /// The lease as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Snapshot {
+pub struct Status {
     /// The row; `None` before the first write.
     pub claim: Option<Claim>,
     /// The store's clock, in milliseconds.
@@ -36,8 +36,8 @@
 
 /// Returns the row version that a write must be conditional on, or `None` while another replica
 /// holds the lease.
-pub fn claimable_version(snapshot: &Snapshot, replica: &str) -> Option<u64> {
-    let Some(claim) = &snapshot.claim else { return Some(0) };
+pub fn claimable_version(status: &Status, replica: &str) -> Option<u64> {
+    let Some(claim) = &status.claim else { return Some(0) };
     let expires_ms = claim.asked_ms + (LEASE_DURATION + HANDOVER_DELAY).as_millis() as u64;
-    (&*claim.holder == replica || snapshot.now_ms >= expires_ms).then_some(claim.version)
+    (&*claim.holder == replica || status.now_ms >= expires_ms).then_some(claim.version)
 }
--- a/crates/core/tests/gateway/pools.rs
+++ b/crates/core/tests/gateway/pools.rs
@@ -5,7 +5,7 @@
 use tarragonhill_core::gateway::{
     directory::{Directory, Endpoint, Stage},
     forecast::{Forecasts, Size},
-    lease::{Claim, HANDOVER_DELAY, LEASE_DURATION, Snapshot, claimable_version},
+    lease::{Claim, HANDOVER_DELAY, LEASE_DURATION, Status, claimable_version},
     load::Loads,
     pools::{Order, Pools, ServiceInfo},
 };
@@ -174,12 +174,12 @@
 #[test]
 fn the_lease_passes_to_another_replica_only_after_it_has_expired() {
     let claim = |holder: &str, asked_ms| Claim { holder: holder.into(), asked_ms, version: 7 };
-    let snapshot = |claim, now_ms| Snapshot { claim, now_ms };
-    assert_eq!(claimable_version(&snapshot(None, 50), "a"), Some(0));
-    assert_eq!(claimable_version(&snapshot(Some(claim("a", 1_000)), 1_001), "a"), Some(7));
+    let status = |claim, now_ms| Status { claim, now_ms };
+    assert_eq!(claimable_version(&status(None, 50), "a"), Some(0));
+    assert_eq!(claimable_version(&status(Some(claim("a", 1_000)), 1_001), "a"), Some(7));
     let expiry = 1_000 + (LEASE_DURATION + HANDOVER_DELAY).as_millis() as u64;
-    assert_eq!(claimable_version(&snapshot(Some(claim("a", 1_000)), expiry - 1), "b"), None);
-    assert_eq!(claimable_version(&snapshot(Some(claim("a", 1_000)), expiry), "b"), Some(7));
+    assert_eq!(claimable_version(&status(Some(claim("a", 1_000)), expiry - 1), "b"), None);
+    assert_eq!(claimable_version(&status(Some(claim("a", 1_000)), expiry), "b"), Some(7));
     assert!(HANDOVER_DELAY > Duration::from_secs(3));
 }
 
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -9,7 +9,7 @@
         catalog::Catalog,
         digest::Member,
         directory::{Endpoint, Stage},
-        lease::Snapshot,
+        lease::Status as LeaseStatus,
         state::Listing,
     },
 };
@@ -183,7 +183,7 @@
 /// Access to the claim row in the store, which lets one gateway at a time send orders.
 pub trait Claims: Send + 'static {
     /// Reads the claim.
-    fn read(&mut self) -> BoxFuture<'_, Result<Snapshot, String>>;
+    fn read(&mut self) -> BoxFuture<'_, Result<LeaseStatus, String>>;
 
     /// Writes the claim if the row still has `version` (0 if there is no row). Returns the new version,
     /// or `None` if another gateway wrote the row first.
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -83,9 +83,9 @@
 
 /// Writes the claim and returns the fencing token.
 async fn claim(holder: &str, claims: &mut dyn Claims) -> Result<u64, String> {
-    let snapshot = claims.read().await?;
-    let version = claimable_version(&snapshot, holder).ok_or("another gateway holds the claim")?;
-    let written = claims.write(holder, snapshot.now_ms, version).await?;
+    let status = claims.read().await?;
+    let version = claimable_version(&status, holder).ok_or("another gateway holds the claim")?;
+    let written = claims.write(holder, status.now_ms, version).await?;
     written.ok_or_else(|| "another gateway wrote the claim first".into())
 }
 
