--- a/crates/core/src/gateway/budget.rs
+++ b/crates/core/src/gateway/budget.rs
@@ -19,7 +19,7 @@
 /// may have used its own share within the same window.
 const STARTUP_FRACTION: f64 = 0.4;
 /// Lower bound of the replica count during the first window, before the others are discovered.
-const MIN_STARTUP_SHARERS: u32 = 4;
+const MIN_STARTUP_REPLICAS: u32 = 4;
 /// Granularity of the sliding window.
 const BUCKET_DURATION: Duration = Duration::from_millis(500);
 
@@ -60,14 +60,14 @@
         self.bucket(now, service).requests += 1;
     }
 
-    /// Records a retry if the budget allows it, and returns whether it does. `sharers` is the
+    /// Records a retry if the budget allows it, and returns whether it does. `replicas` is the
     /// number of replicas that share the slack.
-    pub fn try_spend(&mut self, now: Time, service: &Arc<str>, sharers: u32) -> bool {
+    pub fn try_spend(&mut self, now: Time, service: &Arc<str>, replicas: u32) -> bool {
         self.bucket(now, service);
         let buckets = &self.services[service];
         let requests: u32 = buckets.iter().map(|bucket| bucket.requests).sum();
         let retries: u32 = buckets.iter().map(|bucket| bucket.retries).sum();
-        let allowed = self.rule.ratio * f64::from(requests) + self.slack(now, sharers);
+        let allowed = self.rule.ratio * f64::from(requests) + self.slack(now, replicas);
         if f64::from(retries + 1) > allowed * USABLE_FRACTION {
             return false;
         }
@@ -76,11 +76,11 @@
     }
 
     /// Returns this replica's share of the slack.
-    fn slack(&self, now: Time, sharers: u32) -> f64 {
+    fn slack(&self, now: Time, replicas: u32) -> f64 {
         if now.since(self.started_at) < self.rule.window {
-            return self.rule.slack * STARTUP_FRACTION / f64::from(sharers.max(MIN_STARTUP_SHARERS));
+            return self.rule.slack * STARTUP_FRACTION / f64::from(replicas.max(MIN_STARTUP_REPLICAS));
         }
-        self.rule.slack / f64::from(sharers.max(1))
+        self.rule.slack / f64::from(replicas.max(1))
     }
 
     fn bucket(&mut self, now: Time, service: &Arc<str>) -> &mut Bucket {
--- a/crates/core/src/gateway/forecast.rs
+++ b/crates/core/src/gateway/forecast.rs
@@ -363,7 +363,7 @@
     }
 
     /// Merges the forecasts that another replica reported.
-    pub fn merge_peer(&mut self, peer: &Arc<str>, forecasts: &BTreeMap<Arc<str>, Forecast>) {
+    pub fn apply_peer_forecasts(&mut self, peer: &Arc<str>, forecasts: &BTreeMap<Arc<str>, Forecast>) {
         for (name, forecast) in forecasts {
             let service = self.0.entry(name.clone()).or_default();
             service.peer = *forecast;
@@ -377,14 +377,14 @@
     }
 
     /// Drops the output lengths reported by a replica that is gone.
-    pub fn forget_peer(&mut self, peer: &str) {
+    pub fn remove_peer(&mut self, peer: &str) {
         for service in self.0.values_mut() {
             service.peer_output_lengths.remove(peer);
         }
     }
 
     /// Drops the observations of an endpoint that is gone.
-    pub fn forget(&mut self, service: &str, endpoint: &str) {
+    pub fn remove_endpoint(&mut self, service: &str, endpoint: &str) {
         if let Some(service) = self.0.get_mut(service) {
             service.endpoints.remove(endpoint);
         }
--- a/crates/core/src/gateway/forecast/fit.rs
+++ b/crates/core/src/gateway/forecast/fit.rs
@@ -47,9 +47,9 @@
     /// Mean time, in seconds.
     time: f64,
     /// Weighted sum of squared deviations of the size.
-    spread: f64,
+    squares: f64,
     /// Weighted sum of products of the deviations of size and time.
-    product: f64,
+    products: f64,
     /// Time of the newest observation.
     at: Time,
 }
@@ -75,8 +75,8 @@
         let delta = size - self.size;
         self.size += delta / self.weight;
         self.time += (seconds - self.time) / self.weight;
-        self.spread = self.spread * DECAY + delta * (size - self.size);
-        self.product = self.product * DECAY + delta * (seconds - self.time);
+        self.squares = self.squares * DECAY + delta * (size - self.size);
+        self.products = self.products * DECAY + delta * (seconds - self.time);
         self.at = now;
     }
 
@@ -86,7 +86,7 @@
             return None;
         }
         let regularization = self.weight * (self.size * SLOPE_REGULARIZATION).powi(2).max(1.0);
-        let slope = (self.product / (self.spread + regularization)).max(0.0);
+        let slope = (self.products / (self.squares + regularization)).max(0.0);
         // Keeps the base from becoming negative, which would forecast zero for small sizes.
         let slope = slope.min(self.time / self.size.max(1.0));
         Some(Trend { base: self.time - slope * self.size, slope })
--- a/crates/core/src/gateway/health.rs
+++ b/crates/core/src/gateway/health.rs
@@ -20,13 +20,13 @@
 /// Half-life of the failure ratio without outcomes, so that an endpoint is tried again.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(3);
 /// Weight of one answer in the mean answer time.
-const ANSWER_TIME_WEIGHT: f64 = 0.2;
+const RESPONSE_TIME_WEIGHT: f64 = 0.2;
 
 /// How a request at an endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The answer began after this time. Rejections caused by the request itself count as answers.
-    Answered(Duration),
+    Responded(Duration),
     /// The endpoint failed to answer, or answered with a failure of its own.
     Failed,
     /// No connection could be made; nothing was sent.
@@ -53,7 +53,7 @@
     consecutive_rejections: u32,
     ejected_until: Time,
     /// Moving average; zero before the first answer.
-    answer_time: Duration,
+    response_time: Duration,
     /// Start times of unanswered requests, by number.
     in_flight: BTreeMap<u64, Time>,
     last_number: u64,
@@ -71,12 +71,12 @@
     pub fn record_end(&mut self, now: Time, number: u64, outcome: Outcome) {
         let started = self.in_flight.remove(&number);
         match outcome {
-            Outcome::Answered(time) => {
+            Outcome::Responded(time) => {
                 self.consecutive_unreachable = 0;
                 self.consecutive_rejections = 0;
                 self.ejected_until = Time::ZERO;
                 self.record_result(now, 0.0);
-                self.answer_time = mean(self.answer_time, time);
+                self.response_time = moving_average(self.response_time, time);
             }
             Outcome::Failed | Outcome::Refused => self.record_result(now, 1.0),
             Outcome::Unreachable => {
@@ -97,8 +97,8 @@
             Outcome::Abandoned => {
                 // The answer would have taken at least this long.
                 let waited = started.map_or(Duration::ZERO, |started| now.since(started));
-                if waited > self.answer_time {
-                    self.answer_time = mean(self.answer_time, waited);
+                if waited > self.response_time {
+                    self.response_time = moving_average(self.response_time, waited);
                 }
             }
         }
@@ -121,8 +121,8 @@
 
     /// Returns the mean time until an answer begins, or the longest current wait if that is more:
     /// an endpoint that hangs completes nothing that would raise the mean.
-    pub fn answer_time(&self, now: Time) -> Duration {
-        self.answer_time.max(self.longest_wait(now))
+    pub fn response_time(&self, now: Time) -> Duration {
+        self.response_time.max(self.longest_wait(now))
     }
 
     /// Returns how long the oldest unanswered request has waited.
@@ -136,9 +136,9 @@
     MIN_EJECTION.saturating_mul(1 << failures.min(8)).min(MAX_EJECTION)
 }
 
-fn mean(previous: Duration, time: Duration) -> Duration {
+fn moving_average(previous: Duration, time: Duration) -> Duration {
     if previous.is_zero() {
         return time;
     }
-    previous.mul_f64(1.0 - ANSWER_TIME_WEIGHT) + time.mul_f64(ANSWER_TIME_WEIGHT)
+    previous.mul_f64(1.0 - RESPONSE_TIME_WEIGHT) + time.mul_f64(RESPONSE_TIME_WEIGHT)
 }
--- a/crates/core/src/gateway/load.rs
+++ b/crates/core/src/gateway/load.rs
@@ -11,10 +11,10 @@
 use crate::clock::Time;
 
 /// Age at which another replica's digest no longer counts.
-const STALE: Duration = Duration::from_secs(3);
-/// Age at which prompts reported by another replica count as processed. Shorter than [`STALE`], so
+const STALE_AFTER: Duration = Duration::from_secs(3);
+/// Age at which prompts reported by another replica count as processed. Shorter than [`STALE_AFTER`], so
 /// that a replica that hangs does not block prefill endpoints for the others.
-const PREFILL_STALE: Duration = Duration::from_millis(600);
+const PREFILL_STALE_AFTER: Duration = Duration::from_millis(600);
 /// How long an endpoint counts as full after it refused a run for lack of memory.
 const FULL_DURATION: Duration = Duration::from_millis(100);
 
@@ -71,12 +71,12 @@
 impl Load {
     /// Returns the load from all replicas.
     pub fn total(&self, now: Time) -> Share {
-        let fresh = self.peers.values().filter(|(at, _)| now.since(*at) < STALE);
+        let fresh = self.peers.values().filter(|(at, _)| now.since(*at) < STALE_AFTER);
         fresh.fold(self.local, |sum, (at, share)| Share {
             running: sum.running + share.running,
             memory: sum.memory + share.memory,
             prefill_tokens: sum.prefill_tokens
-                + if now.since(*at) < PREFILL_STALE { share.prefill_tokens } else { 0 },
+                + if now.since(*at) < PREFILL_STALE_AFTER { share.prefill_tokens } else { 0 },
             growth: sum.growth + share.growth,
         })
     }
@@ -90,7 +90,7 @@
     /// Returns the highest recent failure ratio reported by any replica. Each replica sees few
     /// requests, so this detects a failing endpoint sooner.
     pub fn failure_ratio(&self, now: Time) -> f64 {
-        let fresh = self.peer_failure_permille.values().filter(|(at, _)| now.since(*at) < STALE);
+        let fresh = self.peer_failure_permille.values().filter(|(at, _)| now.since(*at) < STALE_AFTER);
         fresh
             .map(|(_, permille)| f64::from(*permille) / 1_000.0)
             .fold(self.health.failure_ratio(now), f64::max)
@@ -170,7 +170,7 @@
             if lease.share.prefill_tokens > 0 {
                 load.prefill_ready_at = now.plus(pause);
             }
-            load.health.record_end(now, lease.number, Outcome::Answered(now.since(lease.sent_at)));
+            load.health.record_end(now, lease.number, Outcome::Responded(now.since(lease.sent_at)));
         }
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// Replaces the load last reported by another replica.
-    pub fn merge_digest(&mut self, now: Time, digest: &Digest) {
+    pub fn apply_digest(&mut self, now: Time, digest: &Digest) {
         for load in self.0.values_mut() {
             load.peers.remove(&digest.name);
             load.peer_failure_permille.remove(&digest.name);
@@ -229,7 +229,7 @@
     }
 
     /// Drops an endpoint that is gone, unless requests are still in flight there.
-    pub fn forget(&mut self, endpoint: &str) {
+    pub fn remove_if_idle(&mut self, endpoint: &str) {
         if self.0.get(endpoint).is_some_and(|load| load.local == Share::default()) {
             self.0.remove(endpoint);
         }
--- a/crates/core/src/gateway/placement.rs
+++ b/crates/core/src/gateway/placement.rs
@@ -164,7 +164,7 @@
             let Some(load) = self.load(endpoint) else { return 0 };
             let ahead = f64::from(load.total(self.now).running + 1);
             let zone_factor = if self.is_in_zone(endpoint, self.zone) { 1.0 } else { CROSS_ZONE_FACTOR };
-            micros(load.health.answer_time(self.now).mul_f64(ahead * zone_factor))
+            micros(load.health.response_time(self.now).mul_f64(ahead * zone_factor))
         };
         let is_full = |endpoint: &Endpoint| self.load(endpoint).is_some_and(|load| load.is_full(self.now));
         let candidates = self.candidates(service, Stage::Whole, avoid).into_iter();
--- a/crates/core/src/gateway/pools.rs
+++ b/crates/core/src/gateway/pools.rs
@@ -59,17 +59,17 @@
     endpoints: f64,
     /// The same, weighted by the expected output tokens.
     endpoint_tokens: f64,
-    at: Time,
+    decayed_at: Time,
 }
 
 impl Demand {
     fn decay(&mut self, now: Time) {
-        let factor = decay_factor(now.since(self.at), HALF_LIFE);
+        let factor = decay_factor(now.since(self.decayed_at), HALF_LIFE);
         self.requests *= factor;
         self.prompt *= factor;
         self.endpoints *= factor;
         self.endpoint_tokens *= factor;
-        self.at = now;
+        self.decayed_at = now;
     }
 
     /// Returns the fraction of endpoints needed for prefill, or `None` while forecasts lack data.
@@ -164,7 +164,7 @@
     }
 
     /// Records a change that another replica has ordered.
-    pub fn merge_change(&mut self, now: Time, endpoint: &Arc<str>, change: StageChange) {
+    pub fn record_peer_change(&mut self, now: Time, endpoint: &Arc<str>, change: StageChange) {
         let until = now.plus(change.remaining.min(CHANGE_TIMEOUT));
         self.peer_changing.insert(endpoint.clone(), (until, change.stage));
     }
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -187,8 +187,8 @@
                 }
                 Change::Removed(endpoint) => {
                     self.suspects.record_crash(now, &endpoint.id);
-                    self.loads.forget(&endpoint.id);
-                    self.forecasts.forget(&endpoint.service, &endpoint.id);
+                    self.loads.remove_if_idle(&endpoint.id);
+                    self.forecasts.remove_endpoint(&endpoint.service, &endpoint.id);
                 }
                 Change::Updated(endpoint) => self.pools.confirm(endpoint),
                 Change::Draining(_) | Change::Lapsed(_) => {}
@@ -213,11 +213,11 @@
         }
         self.staleness.record_peer(now, digest.versions);
         self.rate_limiter.apply_digest(now, digest);
-        self.loads.merge_digest(now, digest);
+        self.loads.apply_digest(now, digest);
         self.suspects.apply_digest(digest);
-        self.forecasts.merge_peer(&digest.name, &digest.forecasts);
+        self.forecasts.apply_peer_forecasts(&digest.name, &digest.forecasts);
         for (endpoint, change) in &digest.changing {
-            self.pools.merge_change(now, endpoint, *change);
+            self.pools.record_peer_change(now, endpoint, *change);
         }
     }
 
@@ -260,7 +260,7 @@
         for peer in &expired {
             self.rate_limiter.remove_peer(peer);
             self.suspects.remove_peer(peer);
-            self.forecasts.forget_peer(peer);
+            self.forecasts.remove_peer(peer);
         }
         self.rate_limiter.charge_silent_peers(now, &self.peers);
         self.forecasts.recompute();
@@ -458,7 +458,7 @@
             self.suspects.record_crash(now, &lease.endpoint);
         }
         if self.directory.get(&lease.endpoint).is_none() {
-            self.loads.forget(&lease.endpoint);
+            self.loads.remove_if_idle(&lease.endpoint);
         }
     }
 
--- a/crates/core/tests/gateway/health.rs
+++ b/crates/core/tests/gateway/health.rs
@@ -22,19 +22,19 @@
     }
     assert_eq!(ejections, [250, 500, 1_000, 2_000, 2_000, 2_000]);
     let number = health.record_start(at(now));
-    health.record_end(at(now), number, Outcome::Answered(Duration::from_millis(5)));
+    health.record_end(at(now), number, Outcome::Responded(Duration::from_millis(5)));
     assert!(!health.is_ejected(at(now)));
 }
 
 /// Guards against an endpoint that hangs but keeps a good mean answer time.
 #[test]
-fn the_answer_time_grows_while_a_request_hangs() {
+fn the_response_time_grows_while_a_request_hangs() {
     let mut health = Health::default();
     let number = health.record_start(at(0));
-    health.record_end(at(10), number, Outcome::Answered(Duration::from_millis(10)));
+    health.record_end(at(10), number, Outcome::Responded(Duration::from_millis(10)));
     health.record_start(at(20));
-    assert_eq!(health.answer_time(at(21)), Duration::from_millis(10));
-    assert_eq!(health.answer_time(at(520)), Duration::from_millis(500));
+    assert_eq!(health.response_time(at(21)), Duration::from_millis(10));
+    assert_eq!(health.response_time(at(520)), Duration::from_millis(500));
 }
 
 #[test]
@@ -60,18 +60,18 @@
 
 /// Guards against a hanging endpoint that looks fast because hedged requests cancel its attempts.
 #[test]
-fn a_cancelled_request_raises_the_answer_time() {
+fn a_cancelled_request_raises_the_response_time() {
     let mut health = Health::default();
     let number = health.record_start(at(0));
-    health.record_end(at(10), number, Outcome::Answered(Duration::from_millis(10)));
+    health.record_end(at(10), number, Outcome::Responded(Duration::from_millis(10)));
     let number = health.record_start(at(20));
     health.record_end(at(520), number, Outcome::Abandoned);
-    assert!(health.answer_time(at(521)) > Duration::from_millis(100));
+    assert!(health.response_time(at(521)) > Duration::from_millis(100));
     // A request that is cancelled at once has no effect.
-    let before = health.answer_time(at(521));
+    let before = health.response_time(at(521));
     let number = health.record_start(at(530));
     health.record_end(at(531), number, Outcome::Abandoned);
-    assert_eq!(health.answer_time(at(532)), before);
+    assert_eq!(health.response_time(at(532)), before);
 }
 
 /// A single rejection may be caused by the prefill endpoint; consecutive ones are not.
@@ -89,7 +89,7 @@
     reject(&mut health, 300);
     assert!(health.is_ejected(at(700)) && !health.is_ejected(at(900)));
     let number = health.record_start(at(900));
-    health.record_end(at(910), number, Outcome::Answered(Duration::from_millis(10)));
+    health.record_end(at(910), number, Outcome::Responded(Duration::from_millis(10)));
     reject(&mut health, 920);
     assert!(!health.is_ejected(at(921)));
 }
--- a/crates/core/tests/gateway/placement.rs
+++ b/crates/core/tests/gateway/placement.rs
@@ -72,7 +72,7 @@
     };
     assert_eq!(place(&loads, 5_000), Some("d-2".into()));
     let shares = [("d-2".into(), share_of(30_000))].into();
-    loads.merge_digest(at(50), &Digest { name: "other".into(), shares, ..Digest::default() });
+    loads.apply_digest(at(50), &Digest { name: "other".into(), shares, ..Digest::default() });
     assert_eq!(place(&loads, 5_000), Some("d-1".into()));
     assert_eq!(place(&loads, 50_001), None);
 }
@@ -118,7 +118,7 @@
 fn complete(loads: &mut Loads, id: &str, count: u32, failed: u32) {
     for index in 0..count {
         let lease = loads.acquire(at(0), &id.into(), Share { running: 1, ..Share::default() });
-        let success = Outcome::Answered(Duration::from_millis(20));
+        let success = Outcome::Responded(Duration::from_millis(20));
         loads.release(at(20), &lease, if index < count - failed { success } else { Outcome::Failed });
     }
 }
@@ -147,7 +147,7 @@
         failure_permille: other.local_failure_permille(at(30)),
         ..Digest::default()
     };
-    loads.merge_digest(at(30), &digest);
+    loads.apply_digest(at(30), &digest);
     let found = view(&directory, &loads, 40).prefill("drafting", 5_000, TARGET, "zone-a", &[]);
     assert_eq!(id_of(found), Some("p-2".into()));
 }
@@ -204,7 +204,7 @@
     let mut loads = Loads::default();
     let prefill = Share { prefill_tokens: 30_000, ..Share::default() };
     let shares = [("p-1".into(), prefill), ("d-1".into(), share_of(30_000))].into();
-    loads.merge_digest(at(0), &Digest { name: "frozen".into(), shares, ..Digest::default() });
+    loads.apply_digest(at(0), &Digest { name: "frozen".into(), shares, ..Digest::default() });
     assert_eq!(
         view(&directory, &loads, 500).prefill("drafting", 5_000, TARGET, "zone-a", &[]),
         Prefill::Busy
--- a/crates/core/tests/gateway/pools.rs
+++ b/crates/core/tests/gateway/pools.rs
@@ -131,7 +131,7 @@
     assert!(pools.is_changing(at(5_000), &order.endpoint.id));
     let mut other = Pools::default();
     for (endpoint, change) in pools.changes(at(5_000)) {
-        other.merge_change(at(5_000), &endpoint, change);
+        other.record_peer_change(at(5_000), &endpoint, change);
     }
     assert!(other.is_changing(at(5_100), &order.endpoint.id));
     assert!(!other.is_changing(at(60_000), &order.endpoint.id));
@@ -195,7 +195,7 @@
         }
         moved += usize::from(next_order(&mut first, now, &directory, 0).is_some());
         for (endpoint, change) in first.changes(at(now)) {
-            second.merge_change(at(now), &endpoint, change);
+            second.record_peer_change(at(now), &endpoint, change);
         }
         moved += usize::from(next_order(&mut second, now, &directory, 0).is_some());
     }
