--- a/crates/core/src/gateway/placement.rs
+++ b/crates/core/src/gateway/placement.rs
@@ -159,7 +159,7 @@
 
     /// Selects an endpoint for an unsplit request: the one with the shortest expected response
     /// time.
-    pub fn whole(&self, service: &str, avoid: &[Arc<str>]) -> Option<Arc<Endpoint>> {
+    pub fn pick_whole(&self, service: &str, avoid: &[Arc<str>]) -> Option<Arc<Endpoint>> {
         let expected = |endpoint: &Endpoint| {
             let Some(load) = self.load(endpoint) else { return 0 };
             let ahead = f64::from(load.total(self.now).running + 1);
@@ -182,7 +182,7 @@
 
     /// Selects a prefill endpoint: the one that finishes the prompt first, with a preference for
     /// `zone`, where the result is used.
-    pub fn prefill(
+    pub fn pick_prefill(
         &self,
         service: &str,
         prompt: u64,
@@ -209,20 +209,20 @@
     }
 
     /// Selects the endpoints for a run; `None` if it has to stay queued.
-    pub fn pair(&self, service: &str, engine: &Engine, run: &Run<'_>) -> Option<Placement> {
-        let endpoint = self.decode(service, engine, run)?;
-        match self.prefill(service, run.prompt, run.ttft_target, &endpoint.zone, &[]) {
+    pub fn pick_pair(&self, service: &str, engine: &Engine, run: &Run<'_>) -> Option<Placement> {
+        let endpoint = self.pick_decode(service, engine, run)?;
+        match self.pick_prefill(service, run.prompt, run.ttft_target, &endpoint.zone, &[]) {
             Prefill::Endpoint(prefill) => Some(Placement { endpoint, prefill: Some(prefill) }),
             Prefill::Unavailable => Some(Placement { endpoint, prefill: None }),
             Prefill::Busy => {
-                let endpoint = self.decode_with_prefill(service, engine, run)?;
+                let endpoint = self.pick_decode_with_prefill(service, engine, run)?;
                 Some(Placement { endpoint, prefill: None })
             }
         }
     }
 
     /// Selects the decode endpoint with the most free memory.
-    pub fn decode(&self, service: &str, engine: &Engine, run: &Run<'_>) -> Option<Arc<Endpoint>> {
+    pub fn pick_decode(&self, service: &str, engine: &Engine, run: &Run<'_>) -> Option<Arc<Endpoint>> {
         // Falls back to failing endpoints when the healthy ones are full: most of their runs still
         // succeed.
         let healthy = self.most_free(self.candidates(service, Stage::Decode, run.avoid), engine, run);
@@ -236,7 +236,12 @@
     /// pause afterwards, and none that would stall runs beyond the target for pauses. Each replica
     /// uses its own partition of endpoints, since two replicas unaware of each other's prompts
     /// would double the stall.
-    fn decode_with_prefill(&self, service: &str, engine: &Engine, run: &Run<'_>) -> Option<Arc<Endpoint>> {
+    fn pick_decode_with_prefill(
+        &self,
+        service: &str,
+        engine: &Engine,
+        run: &Run<'_>,
+    ) -> Option<Arc<Endpoint>> {
         let forecast = self.forecasts.service(service);
         let pause = forecast.local_prefill_time(run.prompt) + forecast.typical_event_interval();
         if !run.target_gap.is_zero() && pause > run.target_gap {
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -313,7 +313,7 @@
         service: &str,
         avoid: &[Arc<str>],
     ) -> Result<Assignment, Refusal> {
-        let found = self.view(now).whole(service, avoid);
+        let found = self.view(now).pick_whole(service, avoid);
         let share = Share { running: 1, ..Share::default() };
         found.map(|endpoint| self.assign(now, endpoint, share, None)).ok_or_else(no_endpoint)
     }
@@ -322,7 +322,8 @@
     pub fn place_prefill(&mut self, now: Time, prompt: &Prompt) -> Option<Assignment> {
         let Prompt { service, tokens, ttft_target, zone, avoid } = prompt;
         let ttft_target = target_or_default(*ttft_target);
-        let Prefill::Endpoint(endpoint) = self.view(now).prefill(service, *tokens, ttft_target, zone, avoid)
+        let Prefill::Endpoint(endpoint) =
+            self.view(now).pick_prefill(service, *tokens, ttft_target, zone, avoid)
         else {
             return None;
         };
@@ -419,7 +420,7 @@
             ttft_target: *ttft_target,
             avoid,
         };
-        let Placement { endpoint, prefill } = self.view(now).pair(service, &engine, &run)?;
+        let Placement { endpoint, prefill } = self.view(now).pick_pair(service, &engine, &run)?;
         let prefill_tokens = if prefill.is_some() { 0 } else { size.prompt };
         let share = Share { running: 1, memory: *memory, prefill_tokens, ..Share::default() };
         let decode = self.assign(now, endpoint, share, Some(Estimate { size: *size, spread }));
--- a/crates/core/tests/gateway/placement.rs
+++ b/crates/core/tests/gateway/placement.rs
@@ -20,7 +20,7 @@
 use crate::{SMALL, at, endpoint, engine, learned, row};
 
 /// Target for the time to the first event.
-const TARGET: Duration = Duration::from_millis(900);
+const TTFT: Duration = Duration::from_millis(900);
 
 fn directory(endpoints: Vec<Endpoint>) -> Directory {
     let mut directory = Directory::default();
@@ -45,7 +45,7 @@
     }
 }
 
-fn id_of(found: Prefill) -> Option<Arc<str>> {
+fn id(found: Prefill) -> Option<Arc<str>> {
     match found {
         Prefill::Endpoint(endpoint) => Some(endpoint.id.clone()),
         Prefill::Busy | Prefill::Unavailable => None,
@@ -53,7 +53,7 @@
 }
 
 fn run_of(memory: u64, headroom: u64) -> Run<'static> {
-    Run { prompt: memory, growth: Growth::flat(memory), headroom, ttft_target: TARGET, ..Run::default() }
+    Run { prompt: memory, growth: Growth::flat(memory), headroom, ttft_target: TTFT, ..Run::default() }
 }
 
 fn share_of(memory: u64) -> Share {
@@ -67,7 +67,7 @@
     loads.acquire(at(0), &"d-1".into(), share_of(10_000));
     let place = |loads: &Loads, memory| {
         view(&directory, loads, 100)
-            .decode("drafting", &engine(), &run_of(memory, 0))
+            .pick_decode("drafting", &engine(), &run_of(memory, 0))
             .map(|found| found.id.clone())
     };
     assert_eq!(place(&loads, 5_000), Some("d-2".into()));
@@ -84,7 +84,7 @@
     loads.acquire(at(0), &"d-1".into(), share_of(45_000));
     let place = |is_late| {
         let headroom = headroom(&engine(), is_late);
-        view(&directory, &loads, 100).decode("drafting", &engine(), &run_of(5_000, headroom)).is_some()
+        view(&directory, &loads, 100).pick_decode("drafting", &engine(), &run_of(5_000, headroom)).is_some()
     };
     assert!(place(false));
     assert!(!place(true));
@@ -96,7 +96,7 @@
     let mut loads = Loads::default();
     let lease = loads.acquire(at(0), &"d-1".into(), share_of(5_000));
     loads.release(at(10), &lease, Outcome::Full);
-    let place = |now| view(&directory, &loads, now).decode("drafting", &engine(), &run_of(5_000, 0));
+    let place = |now| view(&directory, &loads, now).pick_decode("drafting", &engine(), &run_of(5_000, 0));
     assert!(place(20).is_none());
     assert!(place(200).is_some());
 }
@@ -107,7 +107,7 @@
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), far]);
     let mut loads = Loads::default();
     let place =
-        |loads: &Loads| id_of(view(&directory, loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &[]));
+        |loads: &Loads| id(view(&directory, loads, 10).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[]));
     assert_eq!(place(&loads), Some("p-1".into()));
     let prefill = Share { prefill_tokens: 8_000, ..Share::default() };
     loads.acquire(at(0), &"p-1".into(), prefill);
@@ -131,7 +131,7 @@
     complete(&mut loads, "w-1", 8, 3);
     complete(&mut loads, "w-2", 8, 0);
     loads.acquire(at(20), &"w-2".into(), Share { running: 9, ..Share::default() });
-    let found = view(&directory, &loads, 30).whole("drafting", &[]);
+    let found = view(&directory, &loads, 30).pick_whole("drafting", &[]);
     assert_eq!(found.map(|found| found.id.clone()), Some("w-2".into()));
 }
 
@@ -148,8 +148,8 @@
         ..Digest::default()
     };
     loads.apply_digest(at(30), &digest);
-    let found = view(&directory, &loads, 40).prefill("drafting", 5_000, TARGET, "zone-a", &[]);
-    assert_eq!(id_of(found), Some("p-2".into()));
+    let found = view(&directory, &loads, 40).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[]);
+    assert_eq!(id(found), Some("p-2".into()));
 }
 
 #[test]
@@ -159,7 +159,7 @@
     complete(&mut loads, "d-1", 8, 3);
     let place = |loads: &Loads| {
         view(&directory, loads, 30)
-            .decode("drafting", &engine(), &run_of(5_000, 0))
+            .pick_decode("drafting", &engine(), &run_of(5_000, 0))
             .map(|found| found.id.clone())
     };
     assert_eq!(place(&loads), Some("d-2".into()));
@@ -172,7 +172,7 @@
     let directory = directory(vec![endpoint("w-1", Stage::Whole), endpoint("w-2", Stage::Whole)]);
     let loads = Loads::default();
     let avoid = ["w-1".into()];
-    let found = view(&directory, &loads, 0).whole("drafting", &avoid);
+    let found = view(&directory, &loads, 0).pick_whole("drafting", &avoid);
     assert_eq!(found.map(|found| found.id.clone()), Some("w-2".into()));
 }
 
@@ -184,15 +184,18 @@
     let mut loads = Loads::default();
     let mut placed = 0;
     while let Prefill::Endpoint(found) =
-        view(&directory, &loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &[])
+        view(&directory, &loads, 10).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[])
     {
         loads.acquire(at(0), &found.id, Share { prefill_tokens: 5_000, ..Share::default() });
         placed += 1;
     }
     assert_eq!(placed, 5);
-    assert_eq!(view(&directory, &loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &[]), Prefill::Busy);
     assert_eq!(
-        view(&directory, &loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &["p-1".into()]),
+        view(&directory, &loads, 10).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[]),
+        Prefill::Busy
+    );
+    assert_eq!(
+        view(&directory, &loads, 10).pick_prefill("drafting", 5_000, TTFT, "zone-a", &["p-1".into()]),
         Prefill::Unavailable
     );
 }
@@ -206,16 +209,16 @@
     let shares = [("p-1".into(), prefill), ("d-1".into(), share_of(30_000))].into();
     loads.apply_digest(at(0), &Digest { name: "frozen".into(), shares, ..Digest::default() });
     assert_eq!(
-        view(&directory, &loads, 500).prefill("drafting", 5_000, TARGET, "zone-a", &[]),
+        view(&directory, &loads, 500).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[]),
         Prefill::Busy
     );
     assert_eq!(
-        id_of(view(&directory, &loads, 700).prefill("drafting", 5_000, TARGET, "zone-a", &[])),
+        id(view(&directory, &loads, 700).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[])),
         Some("p-1".into())
     );
     // Its runs still count until the digest is stale.
     let place =
-        |now| view(&directory, &loads, now).decode("drafting", &engine(), &run_of(40_000, 0)).is_some();
+        |now| view(&directory, &loads, now).pick_decode("drafting", &engine(), &run_of(40_000, 0)).is_some();
     assert!(!place(2_900));
     assert!(place(3_100));
 }
@@ -230,7 +233,7 @@
     loads.acquire(at(0), &"p-1".into(), prefill(2_000));
     loads.acquire(at(900), &"p-2".into(), prefill(8_000));
     let place = |loads: &Loads, now| {
-        id_of(view(&directory, loads, now).prefill("drafting", 5_000, TARGET, "zone-a", &[]))
+        id(view(&directory, loads, now).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[]))
     };
     assert_eq!(place(&loads, 700), Some("p-1".into()));
     assert_eq!(place(&loads, 901), Some("p-2".into()));
@@ -250,7 +253,7 @@
         loads.release(at(now), &lease, Outcome::ReservationRejected);
     }
     loads.acquire(at(20), &"p-2".into(), Share { prefill_tokens: 8_000, ..Share::default() });
-    let place = |now| id_of(view(&directory, &loads, now).prefill("drafting", 5_000, TARGET, "zone-a", &[]));
+    let place = |now| id(view(&directory, &loads, now).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[]));
     assert_eq!(place(30), Some("p-2".into()));
     assert_eq!(place(300), Some("p-1".into()));
 }
@@ -271,7 +274,7 @@
     let run = Run { target_gap: Duration::from_millis(300), ..run_of(5_000, 0) };
     let selected = |index| {
         let partition = Partition { index, count: 3 };
-        let found = View { partition, ..view(&directory, &loads, 10) }.pair("drafting", &engine(), &run);
+        let found = View { partition, ..view(&directory, &loads, 10) }.pick_pair("drafting", &engine(), &run);
         found.map(|found| (found.endpoint.id.clone(), found.prefill.is_none()))
     };
     assert_eq!(selected(1), Some(("d-2".into(), true)));
@@ -280,7 +283,7 @@
     let lease = loads.acquire(at(0), &"d-1".into(), share_of(5_000));
     loads.release(at(0), &lease, Outcome::Unreachable);
     let partition = Partition { index: 1, count: 3 };
-    let found = View { partition, ..view(&directory, &loads, 10) }.pair("drafting", &engine(), &run);
+    let found = View { partition, ..view(&directory, &loads, 10) }.pick_pair("drafting", &engine(), &run);
     assert_eq!(found.map(|found| found.endpoint.id.clone()), Some("d-2".into()));
 }
 
@@ -293,7 +296,7 @@
     let lease = loads.acquire(at(0), &"d-1".into(), Share { prefill_tokens: 5_000, ..share_of(5_000) });
     let run = Run { target_gap: Duration::from_millis(300), ..run_of(5_000, 0) };
     let is_placed =
-        |loads: &Loads, now| view(&directory, loads, now).pair("drafting", &engine(), &run).is_some();
+        |loads: &Loads, now| view(&directory, loads, now).pick_pair("drafting", &engine(), &run).is_some();
     assert!(!is_placed(&loads, 10));
     loads.record_first_event(at(200), &lease, Duration::from_millis(120));
     assert!(!is_placed(&loads, 250));
@@ -310,7 +313,7 @@
     let lease = loads.acquire(at(20), &"w-1".into(), Share { running: 1, ..Share::default() });
     loads.release(at(21), &lease, Outcome::Refused);
     let place = |loads: &Loads, now| {
-        view(&directory, loads, now).whole("drafting", &[]).map(|found| found.id.clone())
+        view(&directory, loads, now).pick_whole("drafting", &[]).map(|found| found.id.clone())
     };
     assert_eq!(place(&loads, 22), Some("w-2".into()));
     let lease = loads.acquire(at(200), &"w-1".into(), Share { running: 1, ..Share::default() });
@@ -331,7 +334,7 @@
         let name = format!("entry-{replica}");
         let view = View { replica: &name, ..view(&directory, &loads, 10) };
         let found =
-            view.decode("drafting", &engine(), &run_of(7_000, 0)).expect("an endpoint with free memory");
+            view.pick_decode("drafting", &engine(), &run_of(7_000, 0)).expect("an endpoint with free memory");
         *runs_by_endpoint.entry(found.id.clone()).or_default() += 1;
     }
     // Each endpoint has memory for eight runs.
@@ -349,7 +352,7 @@
         let name = format!("entry-{replica}");
         let view = View { replica: &name, ..view(&directory, &loads, 10) };
         let found =
-            view.decode("drafting", &engine(), &run_of(7_000, 0)).expect("an endpoint with free memory");
+            view.pick_decode("drafting", &engine(), &run_of(7_000, 0)).expect("an endpoint with free memory");
         assert_eq!(&*found.id, "d-2");
     }
 }
