--- a/crates/core/src/gateway/digest.rs
+++ b/crates/core/src/gateway/digest.rs
@@ -21,11 +21,11 @@
 pub struct Share {
     /// Requests in flight.
     pub running: u32,
-    /// Memory reserved for them, in tokens.
+    /// KV cache reserved for them, in tokens.
     pub memory: u64,
-    /// Prompt tokens sent for prefill and not answered yet.
+    /// Prompt tokens sent for prefill that is not finished yet.
     pub prefill_tokens: u64,
-    /// Expected memory of its runs over time.
+    /// Expected KV cache use of the runs over time.
     pub growth: Growth,
 }
 
@@ -38,7 +38,7 @@
     pub remaining: Duration,
 }
 
-/// Snapshot of a replica's state, sent to its peers.
+/// Summary of a replica's state, sent to its peers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Digest {
     /// Name of the sender.
@@ -49,15 +49,15 @@
     pub serial: u64,
     /// The sender and the peers that it considers live.
     pub members: Vec<Member>,
-    /// Tokens spent by customers at the sender since its start. Customers that do not fit follow in
-    /// later digests.
+    /// Tokens spent by customers at the sender since its start. Customers that do not fit into this
+    /// digest follow in later ones.
     pub spent: BTreeMap<Arc<str>, u64>,
-    /// Whole tokens left to the same customers, as the sender knows them.
+    /// Tokens left to the same customers according to the sender, rounded towards zero.
     pub left: BTreeMap<Arc<str>, i64>,
     /// Load of the sender by endpoint.
     pub shares: BTreeMap<Arc<str>, Share>,
-    /// Recent failure ratio at the sender by endpoint, in thousandths; healthy endpoints are left
-    /// out.
+    /// Recent failure ratio of each endpoint at the sender, in thousandths; healthy endpoints are
+    /// left out.
     pub failure_permille: BTreeMap<Arc<str>, u16>,
     /// Endpoints that the sender has ordered to change their stage.
     pub changing: BTreeMap<Arc<str>, StageChange>,
@@ -65,7 +65,7 @@
     pub suspects: BTreeMap<u64, u32>,
     /// Versions of the sender's copy of the store.
     pub versions: Versions,
-    /// Forecasts by service, for replicas that have just started; sent in every tenth digest.
+    /// Forecasts by service, mainly for replicas that have just started; empty in most digests.
     pub forecasts: BTreeMap<Arc<str>, Forecast>,
 }
 
@@ -166,7 +166,7 @@
     }
 
     /// Returns the peers with a recent digest. Only these are passed on to others: otherwise,
-    /// replicas would keep reminding each other of a peer that is gone.
+    /// replicas would keep adding a stopped peer to each other's lists.
     pub fn live_members(&self, now: Time) -> impl Iterator<Item = Member> {
         let is_live = move |peer: &Peer| peer.serial > 0 && now.since(peer.last_contact) < LIVENESS_TIMEOUT;
         self.peers
@@ -197,7 +197,8 @@
         self.live_members(now).filter(|member| member.name < self.own).count() as u32
     }
 
-    /// Returns the time since the last digest of each peer.
+    /// Returns the time since the last digest of each peer, or since its first mention if there was
+    /// none.
     pub fn silence(&self, now: Time) -> impl Iterator<Item = (&Arc<str>, Duration)> {
         self.peers.iter().map(move |(name, peer)| (name, now.since(peer.last_contact)))
     }
--- a/crates/core/src/gateway/health.rs
+++ b/crates/core/src/gateway/health.rs
@@ -1,8 +1,8 @@
 //! Health of an endpoint, judged by the outcomes of this replica's own requests.
 //!
-//! Status that an endpoint reports about itself arrives late and may be wrong. An unreachable
-//! endpoint is ejected for a while; an endpoint that fails more often than the others gets requests
-//! only when they cannot take them.
+//! What an endpoint reports about itself arrives late and may be wrong, so it is not used here. An
+//! unreachable endpoint is ejected for a while. An endpoint that fails more often than the others
+//! gets a request only if no other can take it.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,30 +12,32 @@
 const MIN_EJECTION: Duration = Duration::from_millis(250);
 /// Longest ejection time; bounds how late a recovered endpoint is used again.
 const MAX_EJECTION: Duration = Duration::from_secs(2);
-/// Ejection time of an endpoint whose address belongs to another one; longer than its row takes to
-/// lapse.
+/// Ejection time of an endpoint whose address now belongs to another one. Longer than its row in
+/// the store takes to lapse.
 const REPLACED_EJECTION: Duration = Duration::from_secs(5);
 /// Weight of one outcome in the failure ratio.
 const OUTCOME_WEIGHT: f64 = 0.2;
-/// Half-life of the failure ratio without outcomes, so that an endpoint is tried again.
+/// Half-life of the failure ratio. Without decay, an endpoint that gets no requests would never be
+/// tried again.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(3);
-/// Weight of one answer in the mean answer time.
+/// Weight of one response in the mean response time.
 const RESPONSE_TIME_WEIGHT: f64 = 0.2;
 
 /// How a request at an endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The answer began after this time. Rejections caused by the request itself count as answers.
+    /// The response began after this time. Rejections caused by the request itself count as
+    /// responses.
     Responded(Duration),
-    /// The endpoint failed to answer, or answered with a failure of its own.
+    /// The endpoint sent no response, or one that reports a failure of its own.
     Failed,
     /// No connection could be made; nothing was sent.
     Unreachable,
-    /// Another endpoint listens at the address.
+    /// Another endpoint now listens at the address.
     Replaced,
     /// The endpoint refused a whole request without running it.
     Refused,
-    /// The endpoint refused a run for which it had reserved memory.
+    /// The endpoint rejected a run for which it had reserved memory.
     ReservationRejected,
     /// The endpoint had no memory for the request and did not run it.
     Full,
@@ -52,9 +54,9 @@
     consecutive_unreachable: u32,
     consecutive_rejections: u32,
     ejected_until: Time,
-    /// Moving average; zero before the first answer.
+    /// Moving average; zero before the first response.
     response_time: Duration,
-    /// Start times of unanswered requests, by number.
+    /// Start times of requests without a response, by number.
     in_flight: BTreeMap<u64, Time>,
     last_number: u64,
 }
@@ -84,8 +86,8 @@
                 self.ejected_until = now.plus(ejection_time(self.consecutive_unreachable));
                 self.consecutive_unreachable += 1;
             }
-            // A single rejection may be caused by the prefill endpoint. An endpoint about to change
-            // its stage grants reservations but rejects all runs for some seconds.
+            // An endpoint about to change its stage grants reservations but rejects all runs. A
+            // single rejection may be caused by the prefill endpoint, so it does not eject.
             Outcome::ReservationRejected => {
                 if self.consecutive_rejections > 0 {
                     self.ejected_until = now.plus(ejection_time(self.consecutive_rejections - 1));
@@ -95,7 +97,7 @@
             Outcome::Replaced => self.ejected_until = now.plus(REPLACED_EJECTION),
             Outcome::Full => self.consecutive_unreachable = 0,
             Outcome::Abandoned => {
-                // The answer would have taken at least this long.
+                // The response would have taken at least this long.
                 let waited = started.map_or(Duration::ZERO, |started| now.since(started));
                 if waited > self.response_time {
                     self.response_time = moving_average(self.response_time, waited);
@@ -109,23 +111,23 @@
         self.updated = now;
     }
 
-    /// Returns the moving failure ratio, from 0 to 1; decays without outcomes.
+    /// Returns the moving average of failures, from 0 to 1; decays with time.
     pub fn failure_ratio(&self, now: Time) -> f64 {
         self.failure_ratio * decay_factor(now.since(self.updated), FAILURE_HALF_LIFE)
     }
 
-    /// Whether the endpoint should get no requests for now.
+    /// Returns whether the endpoint must get no requests for now.
     pub fn is_ejected(&self, now: Time) -> bool {
         self.ejected_until > now
     }
 
-    /// Returns the mean time until an answer begins, or the longest current wait if that is more:
-    /// an endpoint that hangs completes nothing that would raise the mean.
+    /// Returns the mean time until a response begins, or the longest current wait if that is more:
+    /// an endpoint that hangs completes no request that would raise the mean.
     pub fn response_time(&self, now: Time) -> Duration {
         self.response_time.max(self.longest_wait(now))
     }
 
-    /// Returns how long the oldest unanswered request has waited.
+    /// Returns how long the oldest request without a response has been in flight.
     pub fn longest_wait(&self, now: Time) -> Duration {
         self.in_flight.first_key_value().map_or(Duration::ZERO, |(_, started)| now.since(*started))
     }
--- a/crates/core/src/gateway/suspect.rs
+++ b/crates/core/src/gateway/suspect.rs
@@ -1,22 +1,22 @@
 //! Quarantine of requests that crash endpoints.
 //!
-//! A request that was interrupted on an endpoint that then crashed is a suspect. After repeated
-//! crashes it is refused for a while. Crash counts are exchanged in digests and added up, since a
-//! caller may retry through another replica.
+//! A request that was interrupted on an endpoint shortly before the endpoint crashed is a suspect.
+//! After repeated crashes it is refused for a while. Replicas exchange crash counts in digests and
+//! add them up, since a caller may retry through another replica.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use super::digest::Digest;
 use crate::clock::Time;
 
-/// Crashes after which a request is refused.
+/// Number of crashes after which a request is refused.
 const CRASH_LIMIT: u32 = 2;
 /// Time after the last crash until a suspect is forgotten.
 const SUSPECT_TTL: Duration = Duration::from_secs(120);
 /// Longest time from the interruption of a request to the detection of a crash that counts against
 /// it.
 const CRASH_WINDOW: Duration = Duration::from_secs(5);
-/// Most suspects that one replica keeps; further ones are ignored.
+/// Maximum number of suspects that a replica tracks; further ones are ignored.
 const MAX_SUSPECTS: usize = 200;
 
 #[derive(Clone, Copy, Debug)]
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Whether a request is quarantined.
+    /// Returns whether a request is quarantined.
     pub fn is_refused(&self, now: Time, fingerprint: u64) -> bool {
         let own = self.own.get(&fingerprint).filter(|record| now.since(record.last_crash) < SUSPECT_TTL);
         let peers = self.peers.values().filter_map(|reported| reported.get(&fingerprint));
