--- a/crates/core/src/gateway/placement.rs
+++ b/crates/core/src/gateway/placement.rs
@@ -15,15 +15,15 @@
 use crate::clock::{Time, micros};
 
 /// Endpoints whose failure ratio exceeds the lowest of their service by more than this are used
-/// only if no other can take the request. Tolerates a single failure in ten requests.
+/// only if no other can take the request. Tolerates a single recent failure.
 const MAX_EXCESS_FAILURE_RATIO: f64 = 0.3;
 /// Factor on the expected response time of an endpoint in another availability zone.
 const CROSS_ZONE_FACTOR: f64 = 1.2;
-/// Prefill time that another availability zone must save, as a fraction of the time-to-first-token
-/// target; the result has to be transferred between zones.
+/// Prefill time that an endpoint in another availability zone must save, as a fraction of the
+/// time-to-first-token target. Accounts for the transfer of the KV cache between zones.
 const CROSS_ZONE_PREFILL_SAVING: f64 = 0.06;
-/// Largest backlog at a prefill endpoint, as a fraction of the time-to-first-token target. With
-/// more, the prompt would time out and be sent to a second endpoint, which adds to the load.
+/// Largest backlog at a prefill endpoint, as a fraction of the time-to-first-token target. With a
+/// larger one, the prompt would time out and be sent to a second endpoint, which adds to the load.
 const MAX_PREFILL_BACKLOG: f64 = 0.45;
 /// Time after which a prefill counts as stalled, as a fraction of the time-to-first-token target.
 /// Above [`MAX_PREFILL_BACKLOG`], because reports from other replicas are delayed.
@@ -32,10 +32,10 @@
 const LOCAL_ZONE_BONUS: f64 = 0.05;
 
 /// Largest bonus by which replicas prefer different endpoints, as a fraction of the memory. Without
-/// it, replicas that have not yet seen each other's runs would all select the same endpoint.
+/// it, replicas that do not know each other's newest runs would all pick the same endpoint.
 const PREFERENCE_BONUS: f64 = 0.2;
 
-/// Fraction of an engine's memory kept free for runs of other replicas that were not reported yet.
+/// Fraction of an engine's memory kept free for runs of other replicas that are not reported yet.
 const HEADROOM: f64 = 0.03;
 /// Fraction of an engine's memory kept free when placing a late request, for requests that can
 /// still meet their target.
@@ -78,9 +78,9 @@
 pub enum Prefill {
     /// The prompt goes to this endpoint.
     Endpoint(Arc<Endpoint>),
-    /// All prefill endpoints have too large a backlog at the moment.
+    /// The backlog of the prefill endpoints is too large at the moment.
     Busy,
-    /// No prefill endpoint is reachable.
+    /// There is no prefill endpoint to try.
     Unavailable,
 }
 
@@ -127,7 +127,7 @@
         self.loads.get(&endpoint.id)
     }
 
-    /// Returns the endpoints that may be tried.
+    /// Returns the endpoints that are not in `avoid`, changing their stage or ejected.
     fn reachable(&self, service: &'a str, stage: Stage, avoid: &[Arc<str>]) -> Vec<&'a Arc<Endpoint>> {
         let serving = self.directory.serving(service).filter(|endpoint| endpoint.stage == stage);
         let untried = serving.filter(|endpoint| !avoid.contains(&endpoint.id));
@@ -147,7 +147,7 @@
         self.load(endpoint).is_some_and(|load| load.health.is_ejected(self.now))
     }
 
-    /// Returns whether a prompt is in flight for so long that the endpoint probably hangs.
+    /// Returns whether a prompt has been in flight for so long that the endpoint probably hangs.
     fn is_stalled(&self, endpoint: &Endpoint, ttft_target: Duration) -> bool {
         let longest = ttft_target.mul_f64(STALLED_PREFILL);
         self.load(endpoint).is_some_and(|load| load.health.longest_wait(self.now) > longest)
@@ -157,14 +157,13 @@
         self.load(endpoint).map_or(0.0, |load| load.failure_ratio(self.now))
     }
 
-    /// Selects an endpoint for an unsplit request: the one with the shortest expected response
-    /// time.
+    /// Picks an endpoint for a whole request: the one with the shortest expected response time.
     pub fn pick_whole(&self, service: &str, avoid: &[Arc<str>]) -> Option<Arc<Endpoint>> {
         let expected = |endpoint: &Endpoint| {
             let Some(load) = self.load(endpoint) else { return 0 };
-            let ahead = f64::from(load.total(self.now).running + 1);
+            let in_flight = f64::from(load.total(self.now).running + 1);
             let zone_factor = if self.is_in_zone(endpoint, self.zone) { 1.0 } else { CROSS_ZONE_FACTOR };
-            micros(load.health.response_time(self.now).mul_f64(ahead * zone_factor))
+            micros(load.health.response_time(self.now).mul_f64(in_flight * zone_factor))
         };
         let is_full = |endpoint: &Endpoint| self.load(endpoint).is_some_and(|load| load.is_full(self.now));
         let candidates = self.candidates(service, Stage::Whole, avoid).into_iter();
@@ -174,14 +173,14 @@
     /// Returns the time until an endpoint's backlog is processed, without and with `prompt` further
     /// tokens.
     fn prefill_times(&self, endpoint: &Endpoint, prompt: u64) -> (Duration, Duration) {
-        let ahead = self.load(endpoint).map_or(0, |load| load.total(self.now).prefill_tokens);
+        let queued = self.load(endpoint).map_or(0, |load| load.total(self.now).prefill_tokens);
         let forecast = self.forecasts.endpoint(self.now, &endpoint.service, &endpoint.id);
-        let busy = if ahead == 0 { Duration::ZERO } else { forecast.prefill_time(ahead) };
-        (busy, forecast.prefill_time(ahead + prompt))
+        let backlog = if queued == 0 { Duration::ZERO } else { forecast.prefill_time(queued) };
+        (backlog, forecast.prefill_time(queued + prompt))
     }
 
-    /// Selects a prefill endpoint: the one that finishes the prompt first, with a preference for
-    /// `zone`, where the result is used.
+    /// Picks the prefill endpoint that finishes the prompt first, with a preference for `zone`,
+    /// where the KV cache is needed.
     pub fn pick_prefill(
         &self,
         service: &str,
@@ -203,12 +202,12 @@
         );
         match best {
             None => Prefill::Unavailable,
-            Some(((busy, _), _)) if busy > ttft_target.mul_f64(MAX_PREFILL_BACKLOG) => Prefill::Busy,
+            Some(((backlog, _), _)) if backlog > ttft_target.mul_f64(MAX_PREFILL_BACKLOG) => Prefill::Busy,
             Some((_, endpoint)) => Prefill::Endpoint(endpoint.clone()),
         }
     }
 
-    /// Selects the endpoints for a run; `None` if it has to stay queued.
+    /// Picks the endpoints for a run; `None` if it has to stay queued.
     pub fn pick_pair(&self, service: &str, engine: &Engine, run: &Run<'_>) -> Option<Placement> {
         let endpoint = self.pick_decode(service, engine, run)?;
         match self.pick_prefill(service, run.prompt, run.ttft_target, &endpoint.zone, &[]) {
@@ -221,7 +220,7 @@
         }
     }
 
-    /// Selects the decode endpoint with the most free memory.
+    /// Picks the decode endpoint with the most free memory.
     pub fn pick_decode(&self, service: &str, engine: &Engine, run: &Run<'_>) -> Option<Arc<Endpoint>> {
         // Falls back to failing endpoints when the healthy ones are full: most of their runs still
         // succeed.
@@ -229,13 +228,13 @@
         healthy.or_else(|| self.most_free(self.reachable(service, Stage::Decode, run.avoid), engine, run))
     }
 
-    /// Selects a decode endpoint that processes the prompt itself while all prefill endpoints are
+    /// Picks a decode endpoint that processes the prompt itself while all prefill endpoints are
     /// busy.
     ///
-    /// Prefill stalls the endpoint's other runs, so an endpoint takes one prompt at a time, with a
-    /// pause afterwards, and none that would stall runs beyond the target for pauses. Each replica
-    /// uses its own partition of endpoints, since two replicas unaware of each other's prompts
-    /// would double the stall.
+    /// Prefill stalls the endpoint's other runs. An endpoint therefore takes one prompt at a time,
+    /// with a pause afterwards, and none that would stall runs for longer than `target_gap`. Each
+    /// replica uses its own partition of endpoints, since two replicas unaware of each other's
+    /// prompts would double the stall.
     fn pick_decode_with_prefill(
         &self,
         service: &str,
@@ -243,11 +242,11 @@
         run: &Run<'_>,
     ) -> Option<Arc<Endpoint>> {
         let forecast = self.forecasts.service(service);
-        let pause = forecast.local_prefill_time(run.prompt) + forecast.typical_event_interval();
-        if !run.target_gap.is_zero() && pause > run.target_gap {
+        let stall = forecast.local_prefill_time(run.prompt) + forecast.typical_event_interval();
+        if !run.target_gap.is_zero() && stall > run.target_gap {
             return None;
         }
-        // Indexes cover all listed endpoints: replicas may disagree on which ones are candidates.
+        // Indexes all listed endpoints, since replicas may disagree on which ones are candidates.
         let listed = self.directory.serving(service).filter(|endpoint| endpoint.stage == Stage::Decode);
         let own = listed.enumerate().filter(|(index, _)| self.partition.contains(*index));
         let own: Vec<&Arc<str>> = own.map(|(_, endpoint)| &endpoint.id).collect();
@@ -272,8 +271,8 @@
         fitting.max_by_key(|(free, _)| *free).map(|(_, endpoint)| endpoint.clone())
     }
 
-    /// Returns the free memory at peak use after placing a run, plus the bonuses for the endpoint;
-    /// `None` if the run does not fit.
+    /// Returns the memory that stays free at peak use after placing a run, plus the bonuses for the
+    /// endpoint; `None` if the run does not fit.
     fn free_memory(&self, endpoint: &Endpoint, engine: &Engine, run: &Run<'_>) -> Option<u64> {
         let load = self.load(endpoint);
         if load.is_some_and(|load| load.is_full(self.now)) {
@@ -306,7 +305,7 @@
         hash.digest() as f64 / u64::MAX as f64
     }
 
-    /// Summarizes the endpoints of a stage, for logs and refusals.
+    /// Summarizes the endpoints of a stage, for logs of refusals.
     pub fn describe(&self, service: &str, stage: Stage) -> String {
         let serving = self.directory.serving(service).filter(|endpoint| endpoint.stage == stage);
         let (mut all, mut ejected, mut full, mut running, mut memory) = (0, 0, 0, 0, 0);
@@ -319,7 +318,7 @@
             memory += load.total(self.now).memory;
         }
         format!(
-            "{all} {stage} endpoints, {ejected} left alone, {full} full, {running} runs, {memory} tokens taken"
+            "{all} {stage} endpoints, {ejected} ejected, {full} full, {running} runs, {memory} tokens reserved"
         )
     }
 
--- a/crates/core/src/gateway/queue.rs
+++ b/crates/core/src/gateway/queue.rs
@@ -1,9 +1,8 @@
 //! Queue of requests waiting for memory at a decode endpoint.
 //!
-//! Orders queued requests by deadline. Requests that can still meet their time-to-first-token
-//! target come before those that cannot; serving by arrival would make every request late once the
-//! queue is longer than the target. A request that does not fit blocks later ones of its service,
-//! so that large requests don't starve.
+//! Requests that can still meet their time-to-first-token target come first, then by priority and
+//! deadline. Serving by arrival would make every request late once the wait exceeds the target. A
+//! request that does not fit blocks later ones of its service, so that large requests don't starve.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,7 +12,7 @@
 /// A queued request.
 #[derive(Clone, Debug)]
 pub struct Entry<T> {
-    /// Handle by which the caller is answered.
+    /// Handle by which the caller gets the result.
     pub tag: T,
     /// Service that the request is for.
     pub service: Arc<str>,
@@ -21,9 +20,10 @@
     pub size: Size,
     /// Mean KV cache use, in tokens.
     pub memory: u64,
-    /// Latest start that still meets the time-to-first-token target.
+    /// Latest start that still meets the time-to-first-token target, by the forecast.
     pub soft_deadline: Time,
-    /// Latest start at which the request can finish before its caller disconnects.
+    /// Latest start with which the request can finish before its caller disconnects, by the
+    /// forecast.
     pub hard_deadline: Time,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
@@ -87,8 +87,8 @@
         self.0.retain(|entry| keep(&entry.tag));
     }
 
-    /// Removes expired requests and those that `place` finds an endpoint for, in order. Once a
-    /// request does not fit, all later ones of its service stay queued.
+    /// Removes expired requests and those that `place` accepts, in order. Once a request is not
+    /// accepted, all later ones of its service stay queued.
     pub fn dispatch<P>(
         &mut self,
         now: Time,
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -1,6 +1,7 @@
 //! The state that one replica's routing decisions are based on.
 //!
-//! It is owned by the control thread. `T` identifies the caller of a queued request.
+//! It is owned by the control thread. `T` is the handle by which the caller of a queued request
+//! gets the result.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -28,12 +29,12 @@
 
 /// Retry delay for callers when an endpoint is expected to return soon.
 pub const ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// Bounds of the retry delay for callers that found no free memory: earlier, the same runs still
-/// occupy it; later, the callers have often left.
+/// Bounds of the retry delay for callers that found no free memory. A shorter delay would find the
+/// same runs in memory; with a longer one, many callers give up.
 const MIN_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(300);
 const MAX_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(3_000);
-/// Pause between two prefills on a decode endpoint, in event gaps of its runs, so that one event is
-/// not delayed by both.
+/// Pause between two prefills on a decode endpoint, in event intervals of its runs, so that no
+/// event is delayed by both.
 const PREFILL_PAUSE_EVENTS: u32 = 2;
 /// One in this many digests carries forecasts.
 const DIGESTS_PER_FORECAST: u64 = 10;
@@ -56,10 +57,10 @@
 pub struct Assignment {
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// Returned when the request ends at the endpoint.
+    /// The request's load on the endpoint; to be released when the request ends there.
     pub lease: Lease,
-    /// Prompt tokens queued for prefill there, including this prompt; zero if there is nothing to
-    /// prefill.
+    /// Prompt tokens queued for prefill at the endpoint, including this prompt; zero if there is
+    /// nothing to prefill.
     pub prefill_tokens: u64,
     /// Time limit for the prefill before another endpoint is tried; zero if there is nothing to
     /// prefill.
@@ -71,13 +72,13 @@
 pub struct Listing {
     /// Version of the list.
     pub version: u64,
-    /// Whether endpoints without a row have been removed.
+    /// Whether the list has all endpoints, so that those missing from it were removed.
     pub is_complete: bool,
     /// The rows.
     pub rows: Vec<Row>,
 }
 
-/// A request for admission.
+/// What decides on the admission of a request.
 #[derive(Clone, Debug)]
 pub struct Admission {
     /// The caller, if it is known.
@@ -93,9 +94,9 @@
 /// The endpoints of a completion.
 #[derive(Clone, Debug)]
 pub struct Pair {
-    /// Decodes the answer.
+    /// Endpoint that decodes the output.
     pub decode: Assignment,
-    /// Prefills the prompt; without one, the decode endpoint does.
+    /// Endpoint that prefills the prompt; if `None`, the decode endpoint does.
     pub prefill: Option<Assignment>,
 }
 
@@ -160,7 +161,8 @@
 
     /// Applies the list of a peer whose newest row is `newest`.
     pub fn apply_peer_listing(&mut self, now: Time, mut listing: Listing, newest: u64) -> Vec<Change> {
-        // Rows that the peer lacks may have lapsed only during a store outage.
+        // Once a list has been read, rows that the peer lacks are kept: they may only have lapsed
+        // during a store outage.
         listing.is_complete &= !self.directory.is_loaded();
         let changes = self.update_directory(now, listing);
         self.staleness.record_endpoints(now, newest);
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Whether a digest should be sent before the next one is due.
+    /// Returns whether a digest should be sent before the next one is due.
     pub fn is_digest_urgent(&self) -> bool {
         self.rate_limiter.is_digest_urgent()
     }
@@ -253,8 +255,8 @@
         (digest, self.peers.members().collect())
     }
 
-    /// Applies timeouts; must be called several times a second. Returns changed endpoints and
-    /// expired peers.
+    /// Applies timeouts and recomputes the forecasts; must be called several times a second.
+    /// Returns changed endpoints and expired peers.
     pub fn tick(&mut self, now: Time) -> (Vec<Change>, Vec<Arc<str>>) {
         let expired = self.peers.remove_expired(now);
         for peer in &expired {
@@ -279,28 +281,29 @@
         {
             let left = self.rate_limiter.tokens_left_for(&customer.name);
             let Customer { name, rate, burst, .. } = &**customer;
-            let asked = admission.tokens;
-            let message =
-                format!("{name} asked for {asked} tokens and has {left} left; rate {rate}, burst {burst}");
+            let requested = admission.tokens;
+            let message = format!(
+                "{name} requested {requested} tokens but has {left} left; rate {rate}, burst {burst}"
+            );
             return Err(Refusal::not_run(Code::OverRate, message).with_retry_after(wait));
         }
         self.budget.record_request(now, &admission.service);
         Ok(())
     }
 
-    /// Returns the tokens of a request that did not run.
+    /// Gives back the tokens of a request that did not run.
     pub fn refund(&mut self, admission: &Admission) {
         if let Some(customer) = &admission.customer {
             self.rate_limiter.refund(&customer.name, admission.tokens);
         }
     }
 
-    /// Takes a retry from the retry budget; returns false if none is left.
+    /// Spends one retry of the service's retry budget; returns false if none is left.
     pub fn retry(&mut self, now: Time, service: &Arc<str>) -> bool {
         self.budget.try_spend(now, service, self.peers.count())
     }
 
-    /// Whether a service currently has separate prefill or decode endpoints.
+    /// Returns whether a service currently has separate prefill or decode endpoints.
     pub fn is_split(&self, now: Time, service: &str) -> bool {
         let view = self.view(now);
         view.has_stage(service, Stage::Decode) || view.has_stage(service, Stage::Prefill)
@@ -330,7 +333,7 @@
         Some(self.assign_prefill(now, endpoint, *tokens, ttft_target))
     }
 
-    /// Queues a completion; [`Self::dispatch`] returns it once it is placed or expired.
+    /// Queues a completion; [`Self::dispatch`] returns it once it is placed or has expired.
     pub fn enqueue(&mut self, now: Time, completion: Completion, tag: T) {
         let forecast = self.forecasts.service(&completion.service);
         let engine = self.engine(&completion.service);
@@ -338,7 +341,7 @@
             self.pools.record_request(now, &completion.service, engine, completion.size);
         }
         let mut entry = completion.into_entry(&forecast, tag);
-        // A request that needs more than an endpoint's memory runs alone, with all of it.
+        // A request that needs more than an endpoint's memory reserves all of it and runs alone.
         entry.memory = entry.memory.min(engine.map_or(u64::MAX, |engine| engine.memory));
         self.queue.push(entry);
     }
@@ -347,7 +350,8 @@
         self.catalog.as_ref()?.service(service)?.engine
     }
 
-    /// Records an observation, unless the endpoint was removed: its record would never be deleted.
+    /// Records an observation. Ignored if the endpoint was removed, since the record would never be
+    /// deleted.
     pub fn record_observation(&mut self, now: Time, endpoint: &Endpoint, observation: Observation) {
         if self.directory.get(&endpoint.id).is_none() {
             return;
@@ -378,7 +382,8 @@
         half.map_or(ENDPOINT_RETRY_AFTER, |half| half.clamp(MIN_MEMORY_RETRY_AFTER, MAX_MEMORY_RETRY_AFTER))
     }
 
-    /// Returns the next endpoint that should change its pool; must be called once per tick.
+    /// Returns the next order to move an endpoint to another pool, if one is due; must be called
+    /// once per tick.
     pub fn next_order(&mut self, now: Time) -> Option<Order> {
         let catalog = self.catalog.clone()?;
         let rank = self.peers.rank(now);
@@ -391,12 +396,12 @@
         })
     }
 
-    /// Records that an order was not carried out.
+    /// Drops an order that was not carried out.
     pub fn cancel_order(&mut self, endpoint: &str) {
         self.pools.cancel(endpoint);
     }
 
-    /// Places queued requests for which there is room.
+    /// Removes the requests that can be placed or have expired from the queue.
     pub fn dispatch(&mut self, now: Time) -> Vec<Dispatched<T>> {
         if self.catalog.is_none() {
             return Vec::new();
@@ -407,7 +412,7 @@
         placed
     }
 
-    /// Assigns endpoints to a completion; `None` if it has to wait.
+    /// Assigns endpoints to a completion; `None` if it has to stay queued.
     fn place(&mut self, now: Time, entry: &Entry<T>) -> Option<Pair> {
         let Entry { service, size, memory, target_gap, ttft_target, avoid, .. } = entry;
         let engine = self.engine(service)?;
@@ -428,10 +433,10 @@
         Some(Pair { decode, prefill })
     }
 
-    /// Summarizes queue and decode pool of a service on one line, for refusals.
+    /// Summarizes the queue and the decode pool of a service on one line, for logs of refusals.
     pub fn describe(&self, now: Time, service: &str) -> String {
-        let waiting = self.queue.len();
-        format!("{waiting} wait; {}", self.view(now).describe(service, Stage::Decode))
+        let queued = self.queue.len();
+        format!("{queued} requests queued; {}", self.view(now).describe(service, Stage::Decode))
     }
 
     /// Removes queued requests whose callers are gone.
@@ -444,7 +449,7 @@
         self.queue.len()
     }
 
-    /// Records the beginning of an answer.
+    /// Records the first event of a response.
     pub fn record_first_event(&mut self, now: Time, lease: &Lease) {
         let endpoint = self.directory.get(&lease.endpoint);
         let forecast = endpoint.map(|endpoint| self.forecasts.endpoint(now, &endpoint.service, &endpoint.id));
@@ -468,7 +473,8 @@
         self.suspects.record_interrupted(now, endpoint, fingerprint);
     }
 
-    /// Whether configuration and endpoints have been read, so that requests can be placed.
+    /// Returns whether the configuration and endpoints have been read, so that requests can be
+    /// placed.
     pub fn is_ready(&self) -> bool {
         self.catalog.is_some() && self.directory.is_loaded()
     }
@@ -478,14 +484,14 @@
         self.staleness.own()
     }
 
-    /// Whether a peer has a newer configuration than this replica.
+    /// Returns whether a peer has a newer configuration than this replica.
     pub fn is_configuration_stale(&self, now: Time) -> bool {
         let own = Versions { endpoints: u64::MAX, ..self.staleness.own() };
         self.peers.ahead_of(now, own).next().is_some()
     }
 
-    /// Returns the peers that have data which the store should have delivered by now; empty if
-    /// nothing is overdue.
+    /// Returns the peers that have data which the store should have delivered to this replica by
+    /// now; empty if nothing is overdue.
     pub fn catch_up_peers(&self, now: Time) -> Vec<Member> {
         if !self.staleness.is_overdue(now) {
             return Vec::new();
@@ -564,9 +570,9 @@
         prompt: u64,
         ttft_target: Duration,
     ) -> Assignment {
-        let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.total(now).prefill_tokens);
+        let queued = self.loads.get(&endpoint.id).map_or(0, |load| load.total(now).prefill_tokens);
         let forecast = self.forecasts.endpoint(now, &endpoint.service, &endpoint.id);
-        let prefill_tokens = ahead + prompt;
+        let prefill_tokens = queued + prompt;
         let prefill_timeout = forecast.prefill_timeout(prefill_tokens, ttft_target);
         let share = Share { prefill_tokens: prompt, ..Share::default() };
         Assignment { prefill_tokens, prefill_timeout, ..self.assign(now, endpoint, share, None) }
