--- a/crates/core/src/gateway/budget.rs
+++ b/crates/core/src/gateway/budget.rs
@@ -15,10 +15,10 @@
 /// Fraction of the budget that is used. Leaves a margin for replicas that join or leave within a
 /// window.
 const USABLE_FRACTION: f64 = 0.7;
-/// Fraction of its share of the slack that a replica uses in its first window. Its previous process
-/// may have used its own share within the same window.
+/// Fraction of its share of the slack that a replica uses in its first window. The process that it
+/// replaces may have used the full share within the same window.
 const STARTUP_FRACTION: f64 = 0.4;
-/// Lower bound of the replica count during the first window, before the others are discovered.
+/// Lower bound of the replica count in the first window, while peers are still being discovered.
 const MIN_STARTUP_REPLICAS: u32 = 4;
 /// Granularity of the sliding window.
 const BUCKET_DURATION: Duration = Duration::from_millis(500);
@@ -61,7 +61,7 @@
     }
 
     /// Records a retry if the budget allows it, and returns whether it does. `replicas` is the
-    /// number of replicas that share the slack.
+    /// number of replicas that share the slack, including this one.
     pub fn try_spend(&mut self, now: Time, service: &Arc<str>, replicas: u32) -> bool {
         self.bucket(now, service);
         let buckets = &self.services[service];
--- a/crates/core/src/gateway/catalog.rs
+++ b/crates/core/src/gateway/catalog.rs
@@ -4,7 +4,7 @@
 
 use strum::{Display, EnumString};
 
-/// Which requests of a route may be repeated.
+/// Kind of a route's requests, which decides whether they may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumString)]
 #[strum(serialize_all = "snake_case")]
 pub enum Kind {
@@ -12,16 +12,17 @@
     Idempotent,
     /// A request runs at most once.
     NonIdempotent,
-    /// The answer is a stream of events; runs at most once unless the route is resumable.
+    /// The response is a stream of events; a request runs at most once unless the route is
+    /// resumable.
     Streaming,
 }
 
-/// A service behind a route, with its share of the traffic.
+/// A service behind a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Relative to the other targets' weights.
+    /// Share of the traffic, relative to the weights of the other targets.
     pub weight: u32,
 }
 
@@ -30,26 +31,25 @@
 pub struct Route {
     /// Name for logs.
     pub name: Arc<str>,
-    /// Value of the Host header, in lower case and without a port.
+    /// Host, in lower case and without a port.
     pub host: Arc<str>,
-    /// Begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// Which of its requests may be repeated.
+    /// Kind of its requests.
     pub kind: Kind,
     /// Time limit for a whole request.
     pub timeout: Duration,
-    /// Target time to the answer, or to the first event of a stream.
+    /// Target for the time to the response, or to the first event of a stream.
     pub target_latency: Duration,
     /// Target for the longest pause between events; zero if none is configured.
     pub target_gap: Duration,
-    /// Time without an event after which callers abandon a stream; also applies before its first
-    /// event.
+    /// Time without an event after which callers disconnect; also applies before the first event.
     pub stall_timeout: Duration,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Never empty.
+    /// Services that share the traffic; never empty.
     pub targets: Vec<Target>,
-    /// Most endpoints that may run one request; at least 1.
+    /// Maximum number of endpoints that one request is sent to; at least 1.
     pub max_attempts: u32,
     /// Whether requests need no API key.
     pub is_anonymous: bool,
@@ -58,7 +58,7 @@
 }
 
 impl Route {
-    /// Whether a request may run again after it may already have run.
+    /// Returns whether a request may be sent again after an endpoint may have run it.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             Kind::Idempotent => true,
@@ -88,7 +88,7 @@
 pub struct Engine {
     /// Requests that run concurrently.
     pub slots: u32,
-    /// KV cache for prompts and answers, in tokens.
+    /// KV cache for prompts and outputs, in tokens.
     pub memory: u64,
     /// Longest reservation that an endpoint grants; zero if it grants none.
     pub max_reservation: Duration,
@@ -108,9 +108,9 @@
 pub struct Customer {
     /// Name sent to endpoints.
     pub name: Arc<str>,
-    /// Overrides the route's priority.
+    /// Priority that replaces the route's, if any.
     pub priority: Option<u8>,
-    /// Tokens per second over all replicas; zero for no limit.
+    /// Limit in tokens per second over all replicas; zero for no limit.
     pub rate: u64,
     /// Capacity of the token bucket, in tokens.
     pub burst: u64,
@@ -123,9 +123,9 @@
 /// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest request head.
+    /// Largest request head, in bytes.
     pub max_head_bytes: usize,
-    /// Largest request body.
+    /// Largest request body, in bytes.
     pub max_body_bytes: usize,
     /// Time limit for reading a request head.
     pub head_timeout: Duration,
@@ -158,7 +158,7 @@
 pub struct Catalog {
     version: u64,
     limits: Limits,
-    /// By host, longest prefix first.
+    /// Routes by host, longest prefix first.
     routes: BTreeMap<Arc<str>, Vec<Arc<Route>>>,
     services: BTreeMap<Arc<str>, Service>,
     customers: BTreeMap<Arc<str>, Arc<Customer>>,
@@ -193,7 +193,7 @@
         self.customers.insert(customer.name.clone(), Arc::new(customer));
     }
 
-    /// Returns the operator's number of this version.
+    /// Returns the version number that the operator gave this configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
--- a/crates/core/src/gateway/completion.rs
+++ b/crates/core/src/gateway/completion.rs
@@ -33,9 +33,9 @@
     pub service: Arc<str>,
     /// Prompt and output size.
     pub size: Size,
-    /// When the request had been received completely.
+    /// When the request was received completely.
     pub received: Time,
-    /// When the caller disconnects or the route times out.
+    /// When the caller disconnects or the route times out, whichever is first.
     pub deadline: Time,
     /// Target for the time to the first event; zero if none is declared.
     pub ttft_target: Duration,
--- a/crates/core/src/gateway/directory.rs
+++ b/crates/core/src/gateway/directory.rs
@@ -11,8 +11,8 @@
 
 use crate::clock::Time;
 
-/// How long an endpoint whose row lapsed during a store outage stays in use once the store is back,
-/// so that it can write the row again.
+/// How long endpoints whose rows lapsed in a store outage stay in use once the store is reachable
+/// again, so that they can write their rows.
 const LAPSE_GRACE: Duration = Duration::from_millis(2_300);
 
 /// The part of a request that an endpoint serves.
@@ -24,7 +24,7 @@
     Whole,
     /// Prefill of prompts.
     Prefill,
-    /// Decode of answers.
+    /// Decode of outputs.
     Decode,
 }
 
@@ -37,11 +37,11 @@
     pub started_ms: u64,
     /// Name of the service.
     pub service: Arc<str>,
-    /// Address it listens on.
+    /// Address that it listens on.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: Arc<str>,
-    /// The stage that it serves.
+    /// Stage that it serves.
     pub stage: Stage,
     /// Requests that it runs concurrently, as it reports.
     pub slots: u32,
@@ -56,7 +56,7 @@
     pub id: Arc<str>,
     /// Version of the list at which the row was written; increases.
     pub version: u64,
-    /// Number of the write, counted by the endpoint since its start.
+    /// Number of the write, counted by the endpoint from its start.
     pub sequence: u64,
     /// `None` if the row was removed or cannot be used.
     pub endpoint: Option<Arc<Endpoint>>,
@@ -65,13 +65,13 @@
 /// A change of the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// An endpoint was added, or changed its row.
+    /// An endpoint was added or its row changed.
     Updated(Arc<Endpoint>),
     /// An endpoint restarted under the same name and lost its state.
     Restarted(Arc<Endpoint>),
     /// An endpoint accepts no new requests.
     Draining(Arc<Endpoint>),
-    /// The row disappeared around a store outage; the endpoint stays in use for a grace period.
+    /// The row of an endpoint lapsed in a store outage; it stays in use for a grace period.
     Lapsed(Arc<Endpoint>),
     /// An endpoint was removed.
     Removed(Arc<Endpoint>),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Whether a list has been read.
+    /// Returns whether a list has been read.
     pub fn is_loaded(&self) -> bool {
         self.version > 0
     }
@@ -176,7 +176,7 @@
             return self.remove_row(now, row.id, row.version, last_write, previous);
         };
         let write = (endpoint.started_ms, row.sequence);
-        // The store may apply a write late: an older write must not replace a newer one.
+        // The store may apply writes out of order, so an older write must not replace a newer one.
         if write < last_write {
             return None;
         }
@@ -236,8 +236,8 @@
         self.all().filter(move |endpoint| &*endpoint.service == service && !endpoint.is_draining)
     }
 
-    /// Returns the list version and rows, for a replica that cannot read the store. Lapsed
-    /// endpoints are left out.
+    /// Returns the list version and rows, for a peer that cannot read the store. Lapsed endpoints
+    /// are left out.
     pub fn versioned_rows(&self) -> (u64, Vec<Row>) {
         let current = self.records.iter().filter(|(_, record)| record.expires.is_none());
         let rows = current.filter_map(|(id, record)| {
--- a/crates/core/src/gateway/forecast.rs
+++ b/crates/core/src/gateway/forecast.rs
@@ -2,8 +2,8 @@
 //!
 //! Engines differ by orders of magnitude and slow down under load, so forecasts are fitted to the
 //! requests that this replica observed at each endpoint, not to a specification. The forecast of a
-//! service is the median over its endpoints. Without observations, default values apply, and no
-//! request is refused because of them.
+//! service is the median over its endpoints. Without observations, default values apply, but no
+//! request is refused because of a default.
 
 mod fit;
 mod output;
@@ -19,15 +19,15 @@
 };
 use crate::clock::Time;
 
-/// A prefill may take this many times as long as forecast. Reports of other replicas' prompts
-/// arrive late, and endpoint speeds vary.
+/// Factor on the forecast prefill time after which a prefill times out. Reports of other replicas'
+/// prompts arrive late, and endpoint speeds vary.
 const PREFILL_TIMEOUT_FACTOR: u32 = 2;
-/// Further prefill time allowed, as a fraction of the time-to-first-token target. Short enough that
-/// a second endpoint can still meet the target.
+/// Time added to the prefill timeout, as a fraction of the time-to-first-token target. Short enough
+/// that a second endpoint can still meet the target.
 const PREFILL_TIMEOUT_SLACK: f64 = 0.45;
 
-/// How many times longer a prefill takes at a decode endpoint than at a prefill endpoint, until one
-/// was observed.
+/// Factor by which a prefill takes longer at a decode endpoint than at a prefill endpoint, used
+/// until one is observed.
 const LOCAL_PREFILL_SLOWDOWN: f64 = 2.0;
 
 const DEFAULT_PREFILL_SECS_PER_TOKEN: f64 = 20e-6;
@@ -42,12 +42,12 @@
 const REFERENCE_PROMPT_TOKENS: u64 = 1_000;
 
 /// Age at which an endpoint's own observations are ignored and the service forecast is used
-/// instead. Gives an endpoint that was slow a new chance.
+/// instead. Otherwise, an endpoint that was slow would get no requests again.
 const ENDPOINT_DATA_TTL: Duration = Duration::from_secs(10);
 
 /// Safety margin on the output length during shutdown, in standard deviations of its logarithm,
-/// while the load balancer may still route callers here. Other replicas may be shutting down too,
-/// so refusing too eagerly leaves callers without an alternative.
+/// while the load balancer may still route callers here. In a rolling restart, the next replica may
+/// be shutting down too, so a wide margin would leave callers without an alternative.
 const LENGTH_SIGMAS: f64 = 1.3;
 /// The same once the load balancer routes new callers elsewhere. A refused caller then retries at
 /// another replica, while a stream that cannot be resumed is lost when the process exits.
@@ -70,7 +70,7 @@
     pub max_output: u64,
 }
 
-/// Measurement taken from a request at an endpoint.
+/// Observation of a request at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observation {
     /// A prefill endpoint finished a prompt.
@@ -182,7 +182,7 @@
         self.decode_time_at(tokens, self.memory)
     }
 
-    /// Returns the same at an endpoint with `memory` KV cache tokens in use.
+    /// Returns the time to decode this many tokens with `memory` KV cache tokens in use.
     pub fn decode_time_at(&self, tokens: u64, memory: u64) -> Duration {
         let interval = self.event_interval_at(memory).as_secs_f64();
         let events = tokens as f64 / self.output_length_or_default().event_tokens.max(f64::MIN_POSITIVE);
@@ -194,9 +194,8 @@
         self.event_interval.is_some() && self.output_length.is_some()
     }
 
-    /// Returns the time from placement to the end of a request, counting only parts with
-    /// observations, so that it is safe to refuse a request because of it. Zero without decode
-    /// data.
+    /// Returns the time from placement to the end of a request, counting only parts that have been
+    /// observed, so that no request is refused because of a default. Zero without decode data.
     pub fn known_total_time(&self, size: Size) -> Duration {
         if !self.has_decode_data() {
             return Duration::ZERO;
@@ -204,7 +203,8 @@
         self.known_first_event_time(size.prompt) + self.decode_time(size.expected_output)
     }
 
-    /// Returns the same up to the first event.
+    /// Returns the time from placement to the first event, counting only parts that have been
+    /// observed.
     pub fn known_first_event_time(&self, prompt: u64) -> Duration {
         let prefill = self.prefill.map_or(Duration::ZERO, |trend| trend.at(prompt));
         let first_event = self.first_event.map_or(Duration::ZERO, |trend| trend.at(prompt));
@@ -244,10 +244,10 @@
     output_lengths: OutputLengths,
     /// Median over the endpoints, as of the last [`Forecasts::recompute`].
     typical: Forecast,
-    /// Latest forecast reported by another replica, used where this one has no observations.
+    /// Latest forecast reported by a peer, used where this replica has no observations.
     peer: Forecast,
-    /// Output lengths reported by other replicas. A single replica sees few requests, so they are
-    /// averaged.
+    /// Output lengths reported by peers, by peer; averaged, since a single replica gets few
+    /// requests.
     peer_output_lengths: BTreeMap<Arc<str>, OutputLength>,
 }
 
@@ -257,7 +257,7 @@
     }
 
     fn recompute(&mut self) {
-        // Unresponsive endpoints are left out of the median unless no other is left.
+        // Leaves unresponsive endpoints out of the median unless all are unresponsive.
         let rate = |of: fn(&Speed) -> &Rate| {
             let rates = || self.endpoints.values().map(of);
             let known = |rate: &Rate| Some((rate.trend()?, REFERENCE_PROMPT_TOKENS));
@@ -326,8 +326,8 @@
         self.0.get(service).map(|service| service.typical).unwrap_or_default()
     }
 
-    /// Returns the forecast of one endpoint: its own recent observations, or else the service
-    /// forecast.
+    /// Returns the forecast of one endpoint, by its own recent observations where there are any, or
+    /// else by the service forecast.
     pub fn endpoint(&self, now: Time, service: &str, endpoint: &str) -> Forecast {
         let Some(service) = self.0.get(service) else { return Forecast::default() };
         let typical = service.typical;
@@ -351,7 +351,7 @@
         self.0.iter().map(|(name, service)| (name.clone(), service.typical)).collect()
     }
 
-    /// Returns the forecasts to report to other replicas. Output lengths include only local
+    /// Returns the forecasts to report to peers. Output lengths include only this replica's
     /// observations, so that none counts twice.
     pub fn local(&self) -> BTreeMap<Arc<str>, Forecast> {
         let mut forecasts = self.typical();
@@ -362,7 +362,7 @@
         forecasts
     }
 
-    /// Merges the forecasts that another replica reported.
+    /// Applies the forecasts that a peer reported.
     pub fn apply_peer_forecasts(&mut self, peer: &Arc<str>, forecasts: &BTreeMap<Arc<str>, Forecast>) {
         for (name, forecast) in forecasts {
             let service = self.0.entry(name.clone()).or_default();
@@ -376,14 +376,14 @@
         }
     }
 
-    /// Drops the output lengths reported by a replica that is gone.
+    /// Removes the output lengths that a peer reported.
     pub fn remove_peer(&mut self, peer: &str) {
         for service in self.0.values_mut() {
             service.peer_output_lengths.remove(peer);
         }
     }
 
-    /// Drops the observations of an endpoint that is gone.
+    /// Removes the observations of an endpoint.
     pub fn remove_endpoint(&mut self, service: &str, endpoint: &str) {
         if let Some(service) = self.0.get_mut(service) {
             service.endpoints.remove(endpoint);
--- a/crates/core/src/gateway/forecast/fit.rs
+++ b/crates/core/src/gateway/forecast/fit.rs
@@ -4,20 +4,20 @@
 
 use crate::clock::Time;
 
-/// Weight kept by earlier observations with each new one. Low enough to follow a change of speed
-/// within some requests.
+/// Factor on the weight of earlier observations with each new one. Low enough to follow a change of
+/// speed within a few requests.
 const DECAY: f64 = 0.9;
 /// Total weight of observations needed for a trend.
 const MIN_WEIGHT: f64 = 2.5;
 /// Largest factor by which an observation may deviate from the trend; larger ones are clamped, so
 /// that a single delayed request has little effect.
 const MAX_OUTLIER_FACTOR: f64 = 4.0;
-/// Pulls the slope towards zero while observed sizes vary by less than this fraction of their mean.
+/// Relative variation of the observed sizes below which the slope is pulled towards zero.
 const SLOPE_REGULARIZATION: f64 = 0.5;
-/// Longest plausible time, in seconds.
+/// Longest plausible time; longer observations are ignored.
 const MAX_SECS: f64 = 60.0;
 
-/// Linear dependence of a time on a size in tokens.
+/// A time as a linear function of a size in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Trend {
     /// Seconds at size zero.
@@ -87,7 +87,7 @@
         }
         let regularization = self.weight * (self.size * SLOPE_REGULARIZATION).powi(2).max(1.0);
         let slope = (self.products / (self.squares + regularization)).max(0.0);
-        // Keeps the base from becoming negative, which would forecast zero for small sizes.
+        // Keeps the base from becoming negative, which would give a time of zero for small sizes.
         let slope = slope.min(self.time / self.size.max(1.0));
         Some(Trend { base: self.time - slope * self.size, slope })
     }
--- a/crates/core/src/gateway/forecast/output.rs
+++ b/crates/core/src/gateway/forecast/output.rs
@@ -1,16 +1,16 @@
-//! Output lengths compared to the callers' estimates.
+//! Output lengths in relation to the callers' estimates.
 
-/// Weight kept by earlier outputs with each new one.
+/// Factor on the weight of earlier outputs with each new one.
 const DECAY: f64 = 0.98;
 /// Total weight of observations needed for an estimate.
 const MIN_WEIGHT: f64 = 2.5;
-/// Standard deviation of the logarithm assumed before any observation.
+/// Prior standard deviation of the logarithm.
 const PRIOR_SPREAD: f64 = 0.5;
-/// Number of observations that the prior spread counts for.
+/// Number of observations that the prior counts as.
 const PRIOR_WEIGHT: f64 = 5.0;
 
-/// Running log-normal statistics of estimated tokens per observed event. The median of callers'
-/// estimates is accurate, so the mean of the logarithm gives the tokens per event.
+/// Running log-normal statistics of estimated tokens per observed event. Assumes that the median of
+/// callers' estimates is accurate, so that the mean of the logarithm gives the tokens per event.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutputLengths {
     weight: f64,
@@ -64,7 +64,8 @@
     }
 }
 
-/// Combines the estimates of several replicas, weighted by their observations. `None` without any.
+/// Returns the mean of several replicas' estimates, weighted by their observations; `None` if there
+/// are no observations.
 pub fn weighted_mean<'a>(estimates: impl Iterator<Item = &'a OutputLength>) -> Option<OutputLength> {
     let estimates: Vec<&OutputLength> = estimates.filter(|estimate| estimate.weight > 0.0).collect();
     let weight: f64 = estimates.iter().map(|estimate| estimate.weight).sum();
--- a/crates/core/src/gateway/forecast/rate.rs
+++ b/crates/core/src/gateway/forecast/rate.rs
@@ -1,16 +1,16 @@
-//! Time per token, robust against queueing that this replica cannot see.
+//! Time per token, estimated robustly against queueing behind other replicas' requests.
 
 use std::time::Duration;
 
 use super::Trend;
 use crate::clock::Time;
 
-/// Number of samples kept. Low enough to follow a change of speed within some requests.
+/// Number of samples kept. Low enough to follow a change of speed within a few requests.
 const WINDOW: usize = 8;
 /// Number of samples needed for a rate.
 const MIN_SAMPLES: usize = 3;
-/// Quantile of the samples taken as the rate. Queueing behind other replicas' prompts only adds
-/// time, so the rate lies at the lower end. The minimum itself may be a cache hit.
+/// Quantile of the samples that gives the rate. Queueing behind other replicas' prompts only adds
+/// time, so the rate is at the lower end; the minimum itself may come from a prefix cache hit.
 const QUANTILE: f64 = 0.25;
 
 /// Window of the newest samples, in seconds per token.
@@ -45,7 +45,7 @@
         self.timed_out = true;
     }
 
-    /// Whether the newest request was answered.
+    /// Returns whether the newest request got a response.
     pub fn is_responsive(&self) -> bool {
         !self.timed_out
     }
--- a/crates/core/src/gateway/growth.rs
+++ b/crates/core/src/gateway/growth.rs
@@ -10,10 +10,10 @@
 /// Numbers of further decoded tokens at which memory use is computed.
 pub const HORIZONS: [u64; 8] = [0, 256, 512, 1_024, 2_048, 4_096, 8_192, 16_384];
 
-/// Steepness, times the spread, at which a logistic curve approximates a normal distribution.
+/// Product of steepness and spread with which a logistic curve approximates a normal distribution.
 const STEEPNESS: f64 = 1.7;
-/// Standard deviations of memory use reserved per run in addition to its mean. Avoids preemptions
-/// when a burst of runs reaches an endpoint together.
+/// Number of standard deviations of memory use that are reserved per run in addition to the mean.
+/// Avoids preemptions when a burst of runs reaches an endpoint together.
 const DEVIATIONS_RESERVED: f64 = 1.0;
 /// Lower bound of the spread, which keeps the steepness finite.
 const MIN_SPREAD: f64 = 0.05;
@@ -30,7 +30,7 @@
     }
 
     /// Returns the memory of a run that has generated `generated` tokens. `spread` is the standard
-    /// deviation of the logarithm of its output length against the estimate.
+    /// deviation of the logarithm of its actual over its estimated output length.
     pub fn for_run(size: Size, generated: u64, spread: f64) -> Self {
         let current = survival(size, generated as f64, spread).max(f64::MIN_POSITIVE);
         Self(HORIZONS.map(|horizon| {
--- a/crates/core/src/gateway/lease.rs
+++ b/crates/core/src/gateway/lease.rs
@@ -4,14 +4,14 @@
 //! is a row of the store, written conditionally before each order; the version of that write is the
 //! order's fencing token. The holder may act for [`LEASE_DURATION`] after a write. Another replica
 //! waits for a further [`HANDOVER_DELAY`]. Expiry is judged by the store's clock, so replicas'
-//! clocks are never compared.
+//! clocks are never compared with each other.
 
 use std::{sync::Arc, time::Duration};
 
-/// How long the holder may act after a write, counted from before it read the store.
+/// How long the holder may act after a write, counted from before it read the lease.
 pub const LEASE_DURATION: Duration = Duration::from_secs(2);
-/// Further time before another replica may take the lease. Orders of two holders within three
-/// seconds count as a conflict.
+/// Further time before another replica may take the lease. Must exceed three seconds: orders of two
+/// holders within that time count as a conflict.
 pub const HANDOVER_DELAY: Duration = Duration::from_secs(4);
 
 /// The lease's row in the store.
@@ -19,7 +19,7 @@
 pub struct Claim {
     /// Replica that wrote the row.
     pub holder: Arc<str>,
-    /// Store's clock before the write, in milliseconds.
+    /// Time of the store's clock when the holder read the lease before the write, in milliseconds.
     pub asked_ms: u64,
     /// Version of the row; the fencing token of orders.
     pub version: u64,
--- a/crates/core/src/gateway/load.rs
+++ b/crates/core/src/gateway/load.rs
@@ -1,4 +1,4 @@
-//! Load of each endpoint: this replica's own requests and those that other replicas report.
+//! Load of each endpoint: this replica's own requests and those that peers report.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -10,23 +10,23 @@
 };
 use crate::clock::Time;
 
-/// Age at which another replica's digest no longer counts.
+/// Age at which the load in a peer's digest no longer counts.
 const STALE_AFTER: Duration = Duration::from_secs(3);
-/// Age at which prompts reported by another replica count as processed. Shorter than
+/// Age at which prompts in a peer's digest count as processed. Shorter than
 /// [`STALE_AFTER`], so that a replica that hangs does not block prefill endpoints for the others.
 const PREFILL_STALE_AFTER: Duration = Duration::from_millis(600);
-/// How long an endpoint counts as full after it refused a run for lack of memory.
+/// How long an endpoint counts as full after it refused a request or run.
 const FULL_DURATION: Duration = Duration::from_millis(100);
 
-/// Lowest failure ratio that is reported to other replicas.
+/// Lowest failure ratio that is reported to peers.
 const MIN_REPORTED_FAILURE_RATIO: f64 = 0.05;
 
 /// A run that occupies KV cache memory.
 #[derive(Clone, Copy, Debug)]
 struct Run {
-    /// Reserved tokens.
+    /// KV cache reserved for the run, in tokens.
     memory: u64,
-    /// Output estimate; without one, the reserved memory is taken as constant.
+    /// Output estimate; without one, memory use is taken as constant.
     output: Option<Estimate>,
     /// Output tokens generated so far.
     generated: u64,
@@ -57,11 +57,11 @@
     pub local: Share,
     /// This replica's runs by request number.
     runs: BTreeMap<u64, Run>,
-    /// Shares of other replicas, with the time of each report.
+    /// Shares of peers, with the time of each report.
     peers: BTreeMap<Arc<str>, (Time, Share)>,
-    /// Failure ratios reported by other replicas, in thousandths, with the time of each report.
+    /// Failure ratios reported by peers, in thousandths, with the time of each report.
     peer_failure_permille: BTreeMap<Arc<str>, (Time, u16)>,
-    /// Recent outcomes of this replica's requests.
+    /// Health by the outcomes of this replica's requests.
     pub health: Health,
     full_until: Time,
     /// When the endpoint may start its next local prefill.
@@ -69,7 +69,7 @@
 }
 
 impl Load {
-    /// Returns the load from all replicas.
+    /// Returns the load that all replicas put on the endpoint.
     pub fn total(&self, now: Time) -> Share {
         let fresh = self.peers.values().filter(|(at, _)| now.since(*at) < STALE_AFTER);
         fresh.fold(self.local, |sum, (at, share)| Share {
@@ -87,8 +87,8 @@
         self.local.growth = self.runs.values().fold(Growth::default(), |sum, run| sum + run.growth());
     }
 
-    /// Returns the highest recent failure ratio reported by any replica. Each replica sees few
-    /// requests, so this detects a failing endpoint sooner.
+    /// Returns the highest recent failure ratio at any replica. A single replica sends few requests
+    /// to an endpoint, so this detects a failing endpoint sooner.
     pub fn failure_ratio(&self, now: Time) -> f64 {
         let fresh = self.peer_failure_permille.values().filter(|(at, _)| now.since(*at) < STALE_AFTER);
         fresh
@@ -96,13 +96,13 @@
             .fold(self.health.failure_ratio(now), f64::max)
     }
 
-    /// Returns whether a decode endpoint may start a local prefill: none is in flight, and its runs
-    /// had time to progress since the last one.
+    /// Returns whether a decode endpoint may start a local prefill: none is in flight, and the
+    /// pause after the last one is over.
     pub fn is_ready_for_prefill(&self, now: Time) -> bool {
         self.prefill_ready_at <= now && self.total(now).prefill_tokens == 0
     }
 
-    /// Returns whether the endpoint refused a run for lack of memory a moment ago.
+    /// Returns whether the endpoint recently refused a run, so that it counts as full.
     pub fn is_full(&self, now: Time) -> bool {
         self.full_until > now
     }
@@ -111,7 +111,7 @@
 /// Load that one request puts on an endpoint; released when the request ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Endpoint ID.
+    /// ID of the endpoint.
     pub endpoint: Arc<str>,
     /// The request's share of the load.
     pub share: Share,
@@ -131,7 +131,7 @@
 pub struct Loads(BTreeMap<Arc<str>, Load>);
 
 impl Loads {
-    /// Returns the load of an endpoint; `None` if nothing was ever sent there.
+    /// Returns the load of an endpoint; `None` if none was recorded or reported.
     pub fn get(&self, endpoint: &str) -> Option<&Load> {
         self.0.get(endpoint)
     }
@@ -161,9 +161,9 @@
         Lease { endpoint: endpoint.clone(), share, number, sent_at: now }
     }
 
-    /// Records the first event of a response, by which the prompt has been processed. The caller
-    /// then updates its lease with [`Lease::clear_prefill`]. After a local prefill, the endpoint
-    /// gets no other for `pause`.
+    /// Records the first event of a response, which shows that the prompt has been processed. The
+    /// caller must then call [`Lease::clear_prefill`]. After a local prefill, the endpoint gets no
+    /// other for `pause`.
     pub fn record_first_event(&mut self, now: Time, lease: &Lease, pause: Duration) {
         if let Some(load) = self.0.get_mut(&lease.endpoint) {
             load.local.prefill_tokens = load.local.prefill_tokens.saturating_sub(lease.share.prefill_tokens);
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Replaces the load last reported by another replica.
+    /// Replaces the load that a peer reported before.
     pub fn apply_digest(&mut self, now: Time, digest: &Digest) {
         for load in self.0.values_mut() {
             load.peers.remove(&digest.name);
@@ -228,7 +228,7 @@
         reported.map(|(endpoint, ratio)| (endpoint.clone(), (ratio * 1_000.0) as u16)).collect()
     }
 
-    /// Drops an endpoint that is gone, unless requests are still in flight there.
+    /// Removes the record of an endpoint, unless requests are still in flight there.
     pub fn remove_if_idle(&mut self, endpoint: &str) {
         if self.0.get(endpoint).is_some_and(|load| load.local == Share::default()) {
             self.0.remove(endpoint);
--- a/crates/core/src/gateway/pools.rs
+++ b/crates/core/src/gateway/pools.rs
@@ -16,9 +16,9 @@
 };
 use crate::clock::{Time, decay_factor};
 
-/// Number of recent requests needed to compute a split.
+/// Number of requests needed to compute a split, with older ones counting less.
 const MIN_REQUESTS: f64 = 15.0;
-/// Weight of observed outputs needed to compute a split.
+/// Number of observed outputs needed to compute a split, with older ones counting less.
 const MIN_OUTPUT_WEIGHT: f64 = 8.0;
 /// Half-life of recorded requests: longer than a burst, shorter than a lasting shift of the
 /// traffic.
@@ -26,26 +26,26 @@
 /// Factor on the computed prefill demand. Prompts queue behind each other, so a pool without spare
 /// capacity builds up a backlog.
 const PREFILL_HEADROOM: f64 = 1.45;
-/// Number of endpoints by which the split must be off before one is moved. Above one half, so that
-/// noise does not move the same endpoint back and forth.
+/// Number of endpoints by which the split must differ from the target before one is moved. Above
+/// one half, so that noise does not move the same endpoint back and forth.
 const MIN_IMBALANCE: f64 = 0.8;
 /// Output length for which the time per token is computed.
 const REFERENCE_TOKENS: u64 = 1_000;
 /// Fraction of an engine's memory that runs can use; the rest is lost to fragmentation.
 const USABLE_MEMORY: f64 = 0.9;
-/// When an unconfirmed change is dropped: covers the longest run, the change itself and a delayed
-/// order.
+/// Time after which an unconfirmed change is dropped. Covers the longest run, the change itself and
+/// a delayed order.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(25);
-/// Shortest time between two orders, so that the first shows in the directory before the next is
+/// Shortest time between two orders, so that the directory shows the first before the next is
 /// decided.
 const MIN_ORDER_INTERVAL: Duration = Duration::from_millis(1_000);
-/// How long an imbalance must last before an endpoint moves to decode. Ignores short-lived swings,
-/// such as at the start of a burst or when endpoints fail.
+/// How long an imbalance must last before an endpoint moves to decode, so that a short one, such as
+/// at the start of a burst or when endpoints fail, is ignored.
 const TO_DECODE_DELAY: Duration = Duration::from_secs(2);
-/// The same for a move to prefill. Longer, because a decode endpoint that changes rejects runs
-/// whose prompts were already processed.
+/// The same for a move to prefill. Longer, because a decode endpoint rejects runs while it changes,
+/// and their prompts have then been prefilled for nothing.
 const TO_PREFILL_DELAY: Duration = Duration::from_secs(4);
-/// Largest number of changes in progress.
+/// Maximum number of changes in progress.
 const MAX_CHANGES: usize = 2;
 
 /// Exponentially decaying demand of one service. Stored as sizes and converted to times when used,
@@ -59,6 +59,7 @@
     endpoints: f64,
     /// The same, weighted by the expected output tokens.
     endpoint_tokens: f64,
+    /// Time up to which the sums have decayed.
     decayed_at: Time,
 }
 
@@ -88,7 +89,7 @@
     }
 }
 
-/// Order for an endpoint to change its stage.
+/// Order to an endpoint to change its stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// The endpoint to change.
@@ -102,7 +103,7 @@
 pub struct ServiceInfo<'a> {
     /// Name of the service.
     pub name: &'a Arc<str>,
-    /// Size of its engines.
+    /// Capacity of its engines.
     pub engine: &'a Engine,
     /// Forecast of its prefill and decode times.
     pub forecast: &'a Forecast,
@@ -114,7 +115,7 @@
     demand: BTreeMap<Arc<str>, Demand>,
     /// Changes ordered by this replica, with their timeout and the new stage.
     changing: BTreeMap<Arc<str>, (Time, Stage)>,
-    /// Changes ordered by other replicas, likewise.
+    /// Changes ordered by peers, likewise.
     peer_changing: BTreeMap<Arc<str>, (Time, Stage)>,
     last_order: Option<Time>,
     /// Since when a service has too many endpoints of a stage, and which stage.
@@ -154,7 +155,7 @@
             || self.peer_changing.get(endpoint).is_some_and(|(until, _)| *until > now)
     }
 
-    /// Returns the changes that this replica has ordered, to report to the others.
+    /// Returns the changes that this replica has ordered, for its digest.
     pub fn changes(&self, now: Time) -> BTreeMap<Arc<str>, StageChange> {
         let pending = self.changing.iter().filter(|(_, (until, _))| *until > now);
         let changes = pending.map(|(endpoint, (until, stage))| {
@@ -163,7 +164,7 @@
         changes.collect()
     }
 
-    /// Records a change that another replica has ordered.
+    /// Records a change that a peer has ordered.
     pub fn record_peer_change(&mut self, now: Time, endpoint: &Arc<str>, change: StageChange) {
         let until = now.plus(change.remaining.min(CHANGE_TIMEOUT));
         self.peer_changing.insert(endpoint.clone(), (until, change.stage));
@@ -185,8 +186,8 @@
     }
 
     /// Returns the next change that the split of a service requires. `rank` is the number of
-    /// replicas with precedence over this one. Only the first replica decides: each sees other
-    /// requests, so otherwise the one with the least accurate estimate would act.
+    /// replicas with precedence over this one. Only the first replica decides: each receives other
+    /// requests, so otherwise the least accurate estimate would move an endpoint.
     pub fn next_order(
         &mut self,
         now: Time,
@@ -230,7 +231,7 @@
         Some(Order { endpoint, stage: to })
     }
 
-    /// Returns the stage of an endpoint after any change in progress.
+    /// Returns the stage that an endpoint will have after any change in progress.
     fn target_stage(&self, endpoint: &Endpoint) -> Stage {
         let change = self.changing.get(&endpoint.id).or_else(|| self.peer_changing.get(&endpoint.id));
         change.map_or(endpoint.stage, |(_, stage)| *stage)
--- a/crates/core/src/gateway/rate_limit.rs
+++ b/crates/core/src/gateway/rate_limit.rs
@@ -1,9 +1,9 @@
 //! Token-bucket rate limits for customers, enforced over all replicas together.
 //!
-//! Every replica keeps the customer's whole token bucket. It subtracts its own spending and the
+//! Every replica keeps each customer's whole token bucket. It subtracts its own spending and the
 //! spending that peers report in digests. A peer that sends no digests is charged its even share of
-//! the rate, and charges this replica likewise, so that partitioned replicas stay within the rate
-//! together. The charge is corrected when the peer's next digest arrives.
+//! the rate, so that partitioned replicas, which charge each other, stay within the rate together.
+//! The charge is corrected when the peer's next digest arrives.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,27 +23,27 @@
 /// Time without a digest after which a peer is charged its share of the rate; tolerates a few lost
 /// digests.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Initial level of a new process, as a divisor of the burst, until a peer reports the real level:
-/// the process may replace one that had already spent the bucket.
+/// Divisor of the burst that gives the initial level of a new process, until a peer reports the
+/// actual level: the process may replace one that had already spent the bucket.
 const INITIAL_LEVEL_DIVISOR: i64 = 4;
 /// Period after start in which the level may still be taken over from a peer.
 const LEARNING_PERIOD: Duration = Duration::from_secs(3);
-/// Limit on the size of the totals in one digest, so that the digest fits a datagram.
+/// Largest size of the totals in one digest, so that the digest fits into a datagram.
 const MAX_TOTALS_BYTES: usize = 24 << 10;
 /// Encoded size of one customer's totals, without its name.
 const TOTALS_OVERHEAD_BYTES: usize = 24;
-/// Longest retry delay; callers that wait longer have often left.
+/// Longest retry delay; with a longer one, many callers give up.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(6);
-/// Shortest retry delay for callers over their rate; keeps them from retrying in lockstep.
+/// Shortest retry delay for callers over their rate.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Largest request that counts as small, as a divisor of the burst.
+/// Divisor of the burst that gives the largest request that counts as small.
 const SMALL_REQUEST_DIVISOR: i64 = 50;
-/// Level below which tokens are scarce, as a divisor of the burst.
+/// Divisor of the burst that gives the level below which tokens are scarce.
 const LOW_LEVEL_DIVISOR: i64 = 2;
 /// Half-life of the recorded demand of small requests.
 const SMALL_DEMAND_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Most tokens reserved for small requests, as a divisor of the burst.
+/// Divisor of the burst that gives the largest reserve for small requests.
 const MAX_RESERVE_DIVISOR: i64 = 4;
 
 /// What one peer has spent of one customer's tokens.
@@ -52,7 +52,7 @@
     incarnation: u64,
     /// Tokens spent by this incarnation, by its newest digest.
     spent: u64,
-    /// Microtokens charged for its silence since that digest.
+    /// Microtokens charged to the peer for its silence since that digest.
     charged: i64,
 }
 
@@ -60,12 +60,12 @@
 struct Account {
     /// Tokens per second; equally, microtokens per microsecond.
     rate: i64,
-    /// Microtokens; negative after concurrent spending by several replicas.
+    /// Current level in microtokens; negative after concurrent spending by several replicas.
     level: i64,
-    /// Microtokens.
+    /// Capacity, in microtokens.
     burst: i64,
     refilled_at: Time,
-    /// Microtokens that refused callers will retry for and that have not been refilled since.
+    /// Microtokens for which refused callers will retry; decreases as the bucket is refilled.
     deferred: i64,
     /// Tokens spent here since the process started.
     spent: u64,
@@ -104,8 +104,8 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Whether spending should be reported immediately: replicas that do not know of each other's
-    /// spending could overdraw a low bucket together.
+    /// Returns whether spending should be reported immediately: replicas that do not know each
+    /// other's spending could overdraw a low bucket together.
     fn is_digest_urgent(&self) -> bool {
         let unreported = signed(self.spent.saturating_sub(self.reported)) * MICROTOKENS_PER_TOKEN;
         self.level < self.burst / LOW_LEVEL_DIVISOR && unreported > self.burst / SMALL_REQUEST_DIVISOR
@@ -139,7 +139,7 @@
         Duration::from_micros(wait).max(MIN_RETRY_AFTER)
     }
 
-    /// Subtracts what a peer spent since its previous total, and returns the charge for its
+    /// Subtracts what a peer has spent since its previous total, and gives back the charge for its
     /// silence. The first total of a peer only sets the baseline.
     fn apply_total(&mut self, peer: &Arc<str>, incarnation: u64, spent: u64) {
         let usage = self.peers.entry(peer.clone()).or_insert(PeerUsage { incarnation, spent, charged: 0 });
@@ -149,8 +149,8 @@
         self.level = (self.level - newly_spent + credited).clamp(-self.burst, self.burst);
     }
 
-    /// Takes over the level of an older process. Subtracts all own spending, which the older
-    /// process may not have received yet.
+    /// Takes over the level of a peer. Subtracts all spending of this replica, which the peer may
+    /// not have received yet.
     fn initialize(&mut self, left: i64) {
         let level = left
             .saturating_mul(MICROTOKENS_PER_TOKEN)
@@ -171,7 +171,7 @@
 pub struct Totals {
     /// Tokens spent since the replica started.
     pub spent: BTreeMap<Arc<str>, u64>,
-    /// Whole tokens left, for the same customers.
+    /// Tokens left to the same customers, rounded towards zero.
     pub left: BTreeMap<Arc<str>, i64>,
 }
 
@@ -179,9 +179,9 @@
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     accounts: BTreeMap<Arc<str>, Account>,
-    /// Customers with spending since the last digest that had them.
+    /// Customers with spending since the last digest that included them.
     unreported: BTreeSet<Arc<str>>,
-    /// Last customer, in the order of names, whose totals were taken; the next digest continues
+    /// Last customer, by name, that the previous digest included in turn; the next one continues
     /// after it.
     cursor: Arc<str>,
     started: Time,
@@ -230,7 +230,7 @@
         Ok(())
     }
 
-    /// Returns the tokens of a request that did not run.
+    /// Gives back the tokens of a request that did not run.
     pub fn refund(&mut self, customer: &str, tokens: u64) {
         let Some(account) = self.accounts.get_mut(customer) else { return };
         account.spent = account.spent.saturating_sub(tokens);
@@ -263,22 +263,21 @@
         }
     }
 
-    /// Removes a peer; its charges are kept.
+    /// Removes a peer; what was charged for it stays subtracted.
     pub fn remove_peer(&mut self, peer: &str) {
         for account in self.accounts.values_mut() {
             account.peers.remove(peer);
         }
     }
 
-    /// Whether spending should be reported before the next digest is due. Called at every step of
-    /// the control thread, so it checks only customers with unreported spending.
+    /// Returns whether spending should be reported before the next digest is due. Called at every
+    /// step of the control thread, so it checks only customers with unreported spending.
     pub fn is_digest_urgent(&self) -> bool {
         self.unreported.iter().filter_map(|name| self.accounts.get(name)).any(Account::is_digest_urgent)
     }
 
-    /// Returns totals for the next digest, for as many customers as fit: first customers with
-    /// unreported spending, then the others in the order of names, continuing after the last
-    /// digest.
+    /// Returns totals for the next digest, for as many customers as fit: first those with
+    /// unreported spending, then the others by name, continuing after the previous digest.
     pub fn take_totals(&mut self, now: Time) -> Totals {
         let names = self.next_customers();
         let mut totals = Totals::default();
@@ -316,7 +315,7 @@
         names
     }
 
-    /// Returns the tokens left to a customer at its last request; zero if it has no rate.
+    /// Returns the tokens left to a customer as of its last update; zero if it has no rate.
     pub fn tokens_left_for(&self, customer: &str) -> i64 {
         self.accounts.get(customer).map_or(0, |account| account.level / MICROTOKENS_PER_TOKEN)
     }
@@ -333,6 +332,6 @@
 }
 
 fn signed(value: u64) -> i64 {
-    // Keeps microtokens within an `i64`; rates and counts are far below 2^40.
+    // Keeps microtokens within an `i64`. Actual rates and counts are far below 2^40.
     i64::try_from(value).unwrap_or(i64::MAX).min(1 << 40)
 }
--- a/crates/core/src/gateway/snapshot.rs
+++ b/crates/core/src/gateway/snapshot.rs
@@ -1,11 +1,11 @@
-//! What a replica has read from the store, for a peer that cannot reach it.
+//! Copy of the store's contents, for a peer that cannot reach the store.
 
 use std::sync::Arc;
 
 use super::{staleness::Versions, state::Listing};
 
-/// A copy of the store's contents. Versions are assigned by the store, so copies from different
-/// replicas can be compared.
+/// Store contents that a replica has read. The store assigns the versions, so snapshots of
+/// different replicas can be compared.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
     /// Versions of the contents.
--- a/crates/core/src/gateway/staleness.rs
+++ b/crates/core/src/gateway/staleness.rs
@@ -4,8 +4,8 @@
 
 use crate::clock::Time;
 
-/// Time for which this replica may lack a version that a peer has. The store delivers a change to
-/// all replicas at about the same time, but large rows take longer on slow links.
+/// Time after which a version that a peer has, but this replica lacks, is overdue. Large rows take
+/// longer to arrive on slow links.
 const OVERDUE_AFTER: Duration = Duration::from_millis(1_000);
 
 /// Versions of a copy of the store.
@@ -18,7 +18,7 @@
 }
 
 impl Versions {
-    /// Whether any part of this copy is newer than in `other`.
+    /// Returns whether any part of this copy is newer than in `other`.
     pub fn is_ahead_of(self, other: Self) -> bool {
         self.configuration > other.configuration || self.endpoints > other.endpoints
     }
@@ -27,7 +27,7 @@
 /// Versions of one part of the copy.
 #[derive(Clone, Copy, Debug, Default)]
 struct Part {
-    /// Newest version that this replica has completely.
+    /// Newest version that this replica has read completely.
     own: u64,
     /// Newest version that a peer has.
     newest_peer: u64,
@@ -84,7 +84,7 @@
         Versions { configuration: self.configuration.own, endpoints: self.endpoints.own }
     }
 
-    /// Whether this replica has been behind its peers for too long.
+    /// Returns whether this replica has been behind its peers for too long.
     pub fn is_overdue(&self, now: Time) -> bool {
         self.configuration.is_overdue(now) || self.endpoints.is_overdue(now)
     }
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -78,7 +78,7 @@
     pub rows: Vec<Row>,
 }
 
-/// What decides on the admission of a request.
+/// Properties of a request that decide whether it is admitted.
 #[derive(Clone, Debug)]
 pub struct Admission {
     /// The caller, if it is known.
@@ -401,7 +401,7 @@
         self.pools.cancel(endpoint);
     }
 
-    /// Removes the requests that can be placed or have expired from the queue.
+    /// Removes requests from the queue that can be placed now or have expired, and returns them.
     pub fn dispatch(&mut self, now: Time) -> Vec<Dispatched<T>> {
         if self.catalog.is_none() {
             return Vec::new();
