--- a/crates/core/src/gateway/forecast.rs
+++ b/crates/core/src/gateway/forecast.rs
@@ -37,8 +37,8 @@
 /// Upper bound of forecast decode times, so that they fit into a [`Duration`].
 const MAX_DECODE_SECS: f64 = 1e8;
 
-/// Prompt size at which endpoints' prefill rates are compared. Rates are proportional to the size,
-/// so any value gives the same median.
+/// Prompt size at which endpoints' prefill rates are compared. Prefill times are proportional to
+/// the size, so any value gives the same median.
 const REFERENCE_PROMPT_TOKENS: u64 = 1_000;
 
 /// Age at which an endpoint's own observations are ignored and the service forecast is used
--- a/crates/core/tests/gateway/budget.rs
+++ b/crates/core/tests/gateway/budget.rs
@@ -1,4 +1,4 @@
-//! Retry budget.
+//! Tests of the retry budget.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,7 +8,7 @@
 
 const RULE: Rule = Rule { ratio: 0.2, slack: 40.0, window: Duration::from_secs(10) };
 
-/// When a service loses all its responses, retries must not double its load.
+/// When all requests to a service fail, retries must not double its load.
 #[test]
 fn retries_of_all_replicas_stay_within_ratio_and_slack() {
     let service: Arc<str> = "filing".into();
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_window_slides() {
+fn retries_are_allowed_again_after_the_window() {
     let service: Arc<str> = "filing".into();
     let mut budget = Budget::new(RULE, at(0));
     let used = (0..100).filter(|_| budget.try_spend(at(20_000), &service, 1)).count();
--- a/crates/core/tests/gateway/catalog.rs
+++ b/crates/core/tests/gateway/catalog.rs
@@ -32,8 +32,8 @@
     let catalog = catalog();
     let closed = catalog.route("a.example", "/a/").expect("a route").clone();
     let open = catalog.route("a.example", "/open/").expect("a route").clone();
-    let holder = catalog.authenticate(&closed, Some("key-2")).expect("known").expect("a customer");
-    assert_eq!(&*holder.name, "faculty");
+    let customer = catalog.authenticate(&closed, Some("key-2")).expect("known").expect("a customer");
+    assert_eq!(&*customer.name, "faculty");
     assert_eq!(catalog.authenticate(&closed, Some("key-3")), Err(LookupError::Key));
     assert_eq!(catalog.authenticate(&closed, None), Err(LookupError::Key));
     assert_eq!(catalog.authenticate(&open, None), Ok(None));
--- a/crates/core/tests/gateway/digest.rs
+++ b/crates/core/tests/gateway/digest.rs
@@ -23,7 +23,7 @@
     assert!(!peers.record_digest(at(3), &digest("b", 1, 9), from));
 }
 
-/// Guards against rejecting the digests of a restarted replica whose host clock was set back.
+/// Guards against rejecting the digests of a restarted replica whose host's clock was set back.
 #[test]
 fn a_replica_that_restarts_with_an_earlier_clock_is_accepted() {
     let mut peers = Peers::new("own".into());
@@ -47,9 +47,9 @@
     assert_eq!(peers.count(), 3);
 }
 
-/// Guards against replicas that keep reminding each other of a peer that is gone.
+/// Guards against replicas that keep adding a stopped peer to each other's lists.
 #[test]
-fn a_peer_that_is_gone_is_removed_everywhere() {
+fn a_stopped_peer_is_removed_everywhere() {
     let (mut one, mut two) = (Peers::new("one".into()), Peers::new("two".into()));
     one.record_digest(at(0), &digest("gone", 1, 1), member("gone").address);
     for serial in 1..200 {
--- a/crates/core/tests/gateway/directory.rs
+++ b/crates/core/tests/gateway/directory.rs
@@ -4,13 +4,14 @@
 
 use tarragonhill_core::gateway::directory::{Change, Directory, Endpoint, Row, Stage};
 
-use crate::{at, endpoint, gone, row};
+use crate::{at, endpoint, removed_row, row};
 
 fn draining(id: &str) -> Endpoint {
     Endpoint { is_draining: true, ..endpoint(id, Stage::Whole) }
 }
 
-fn names(directory: &Directory) -> Vec<Arc<str>> {
+/// Returns the IDs of the endpoints that get new requests.
+fn serving_ids(directory: &Directory) -> Vec<Arc<str>> {
     directory.serving("drafting").map(|endpoint| endpoint.id.clone()).collect()
 }
 
@@ -18,20 +19,20 @@
 fn a_draining_endpoint_gets_no_new_requests() {
     let mut directory = Directory::default();
     directory.update(at(0), 1, vec![row(1, endpoint("e-1", Stage::Whole))]);
-    assert_eq!(names(&directory), ["e-1".into()]);
+    assert_eq!(serving_ids(&directory), ["e-1".into()]);
     let changes = directory.update(at(1), 2, vec![row(2, draining("e-1"))]);
     assert!(matches!(changes[..], [Change::Draining(_)]), "{changes:?}");
-    assert!(names(&directory).is_empty());
+    assert!(serving_ids(&directory).is_empty());
 }
 
-/// Guards against a stale read of the store that brings back a removed endpoint.
+/// Guards against a stale read of the store that restores a removed endpoint.
 #[test]
 fn an_older_list_does_not_restore_endpoints() {
     let mut directory = Directory::default();
     directory.update(at(0), 5, vec![row(5, endpoint("e-1", Stage::Whole))]);
-    directory.update(at(1), 9, vec![gone(9, "e-1"), row(8, endpoint("e-2", Stage::Whole))]);
+    directory.update(at(1), 9, vec![removed_row(9, "e-1"), row(8, endpoint("e-2", Stage::Whole))]);
     directory.replace(at(2), 6, vec![row(5, endpoint("e-1", Stage::Whole))]);
-    assert_eq!(names(&directory), ["e-2".into()]);
+    assert_eq!(serving_ids(&directory), ["e-2".into()]);
 }
 
 #[test]
@@ -43,8 +44,8 @@
         vec![row(4, endpoint("e-1", Stage::Whole)), row(5, endpoint("e-2", Stage::Whole))],
     );
     let changes = directory.replace(at(1), 7, vec![row(5, endpoint("e-2", Stage::Whole))]);
-    assert!(matches!(&changes[..], [Change::Removed(gone)] if &*gone.id == "e-1"), "{changes:?}");
-    assert_eq!(names(&directory), ["e-2".into()]);
+    assert!(matches!(&changes[..], [Change::Removed(endpoint)] if &*endpoint.id == "e-1"), "{changes:?}");
+    assert_eq!(serving_ids(&directory), ["e-2".into()]);
 }
 
 /// Guards against a delayed write that makes a draining endpoint available again.
@@ -55,7 +56,7 @@
     directory.update(at(0), 1, vec![written(1, 4, endpoint("e-1", Stage::Whole))]);
     directory.update(at(1), 2, vec![written(2, 6, draining("e-1"))]);
     directory.update(at(2), 3, vec![written(3, 5, endpoint("e-1", Stage::Whole))]);
-    assert!(names(&directory).is_empty());
+    assert!(serving_ids(&directory).is_empty());
 }
 
 /// Guards against losing all endpoints when their rows lapse during a store outage.
@@ -69,23 +70,23 @@
     );
     directory.mark_store_unreachable();
     directory.mark_store_reachable(at(6_000));
-    let changes = directory.update(at(6_000), 5, vec![gone(4, "e-1"), gone(5, "e-2")]);
+    let changes = directory.update(at(6_000), 5, vec![removed_row(4, "e-1"), removed_row(5, "e-2")]);
     assert!(matches!(changes[..], [Change::Lapsed(_), Change::Lapsed(_)]), "{changes:?}");
-    assert_eq!(names(&directory).len(), 2);
+    assert_eq!(serving_ids(&directory).len(), 2);
 
     directory.update(at(7_500), 6, vec![row(6, endpoint("e-1", Stage::Whole))]);
     let changes = directory.expire_lapsed(at(9_000));
-    assert!(matches!(&changes[..], [Change::Removed(gone)] if &*gone.id == "e-2"), "{changes:?}");
-    assert_eq!(names(&directory), ["e-1".into()]);
+    assert!(matches!(&changes[..], [Change::Removed(endpoint)] if &*endpoint.id == "e-2"), "{changes:?}");
+    assert_eq!(serving_ids(&directory), ["e-1".into()]);
 }
 
 #[test]
 fn a_row_removed_while_the_store_is_reachable_is_removed_at_once() {
     let mut directory = Directory::default();
     directory.update(at(0), 1, vec![row(1, endpoint("e-1", Stage::Whole))]);
-    let changes = directory.update(at(9_000), 2, vec![gone(2, "e-1")]);
+    let changes = directory.update(at(9_000), 2, vec![removed_row(2, "e-1")]);
     assert!(matches!(changes[..], [Change::Removed(_)]), "{changes:?}");
-    assert!(names(&directory).is_empty());
+    assert!(serving_ids(&directory).is_empty());
 }
 
 #[test]
@@ -105,11 +106,11 @@
     let newer = Endpoint { started_ms: 2, ..endpoint("new", Stage::Decode) };
     let changes = directory.update(at(1), 2, vec![row(2, newer)]);
     assert!(
-        changes.iter().any(|change| matches!(change, Change::Removed(gone) if &*gone.id == "old")),
+        changes.iter().any(|change| matches!(change, Change::Removed(endpoint) if &*endpoint.id == "old")),
         "{changes:?}"
     );
-    assert_eq!(names(&directory), ["new".into()]);
+    assert_eq!(serving_ids(&directory), ["new".into()]);
     // A late write of the replaced endpoint is ignored.
     directory.update(at(2), 3, vec![row(3, endpoint("old", Stage::Decode))]);
-    assert_eq!(names(&directory), ["new".into()]);
+    assert_eq!(serving_ids(&directory), ["new".into()]);
 }
--- a/crates/core/tests/gateway/forecast.rs
+++ b/crates/core/tests/gateway/forecast.rs
@@ -1,19 +1,20 @@
-//! Forecasts of request times.
+//! Tests of the forecasts of request times.
 
 use std::time::Duration;
 
 use tarragonhill_core::gateway::forecast::{Forecast, Forecasts, Observation, Size};
 
-use crate::{SMALL, Speed, at, learned, train};
+use crate::{SMALL, Speed, at, train, trained};
 
 /// Target for the time to the first event.
 const TARGET: Duration = Duration::from_millis(900);
 
-fn small() -> Forecast {
-    learned(SMALL).service("drafting")
+/// Returns the service forecast for a [`SMALL`] engine.
+fn small_forecast() -> Forecast {
+    trained(SMALL).service("drafting")
 }
 
-fn request(expected_output: u64) -> Size {
+fn size_with_output(expected_output: u64) -> Size {
     Size { prompt: 5_000, expected_output, max_output: 1_870 }
 }
 
@@ -21,31 +22,30 @@
 #[test]
 fn a_stream_that_may_outlast_the_process_is_refused_during_shutdown() {
     let left = Duration::from_millis(2_250);
-    assert!(!small().finishes_within(left, request(180), false));
-    assert!(small().finishes_within(left, request(90), false));
+    assert!(!small_forecast().finishes_within(left, size_with_output(180), false));
+    assert!(small_forecast().finishes_within(left, size_with_output(90), false));
 }
 
-/// In a rolling restart, overly strict refusals would turn a caller away at one replica after
-/// another.
+/// In a rolling restart, a wide safety margin would make one replica after another refuse a caller.
 #[test]
 fn a_stream_right_after_the_start_of_shutdown_is_accepted() {
     let left = Duration::from_millis(7_700);
-    assert!(small().finishes_within(left, request(700), true));
-    assert!(!small().finishes_within(left, request(1_500), true));
+    assert!(small_forecast().finishes_within(left, size_with_output(700), true));
+    assert!(!small_forecast().finishes_within(left, size_with_output(1_500), true));
 }
 
 #[test]
 fn the_output_is_limited_to_the_requested_maximum() {
     let size = Size { prompt: 5_000, expected_output: 300, max_output: 300 };
-    assert!(small().finishes_within(Duration::from_millis(2_250), size, false));
+    assert!(small_forecast().finishes_within(Duration::from_millis(2_250), size, false));
 }
 
-/// An unresponsive prefill endpoint must be given up early enough for a second one to meet the
-/// target, but a long backlog alone must not cause a second prefill.
+/// The timeout must leave time for a second endpoint to meet the target, but a long backlog alone
+/// must not cause a second prefill.
 #[test]
 fn the_prefill_timeout_grows_with_the_backlog() {
-    assert!(small().prefill_timeout(5_000, TARGET) <= Duration::from_millis(600));
-    assert!(small().prefill_timeout(27_000, TARGET) >= Duration::from_millis(1_300));
+    assert!(small_forecast().prefill_timeout(5_000, TARGET) <= Duration::from_millis(600));
+    assert!(small_forecast().prefill_timeout(27_000, TARGET) >= Duration::from_millis(1_300));
 }
 
 /// Returns whether a time is within a tenth of the expected one.
@@ -62,7 +62,7 @@
         Speed { prompt_us: 18, first_ms: 30, token_us: 640, event_tokens: 72 },
         Speed { prompt_us: 180, first_ms: 400, token_us: 20_000, event_tokens: 4 },
     ] {
-        let forecast = learned(speed).service("drafting");
+        let forecast = trained(speed).service("drafting");
         assert!(is_near(forecast.prefill_time(5_000), speed.prompt_us * 5), "{speed:?}");
         assert!(is_near(forecast.first_event_time(5_000), speed.first_ms), "{speed:?}");
         assert!(is_near(forecast.decode_time(1_000), speed.token_us), "{speed:?}");
@@ -74,7 +74,7 @@
 /// deadlines.
 #[test]
 fn a_slowdown_during_runs_changes_the_forecast() {
-    let mut forecasts = learned(SMALL);
+    let mut forecasts = trained(SMALL);
     let slow = Duration::from_micros(10 * SMALL.token_us * SMALL.event_tokens);
     for _ in 0..20 {
         let events = Observation::Events { events: 2, span: slow * 2 };
@@ -89,7 +89,7 @@
 /// every prompt would time out.
 #[test]
 fn prefill_timeouts_raise_the_prefill_forecast() {
-    let mut forecasts = learned(SMALL);
+    let mut forecasts = trained(SMALL);
     let actual = Duration::from_micros(10 * SMALL.prompt_us * 5_000);
     let mut timeouts = 0;
     while forecasts.service("drafting").prefill_timeout(5_000, TARGET) < actual {
@@ -102,7 +102,6 @@
     }
 }
 
-/// One slow endpoint must not change the forecast of its service.
 #[test]
 fn a_slow_endpoint_does_not_change_the_service_forecast() {
     let mut forecasts = Forecasts::default();
@@ -122,7 +121,7 @@
 
 #[test]
 fn a_single_delayed_request_hardly_changes_the_forecast() {
-    let mut forecasts = learned(SMALL);
+    let mut forecasts = trained(SMALL);
     let (service, endpoint) = ("drafting".into(), "e-1".into());
     let delay = Duration::from_secs(9);
     for observation in
--- a/crates/core/tests/gateway/growth.rs
+++ b/crates/core/tests/gateway/growth.rs
@@ -1,4 +1,4 @@
-//! Expected KV cache use of runs over time.
+//! Tests of the expected KV cache use of runs over time.
 
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -31,7 +31,7 @@
     assert!(partial.0[index] < Growth::for_run(size(), 0, SPREAD).0[index]);
 }
 
-/// Runs that start in a burst reach their peak together, which mean memory use does not show.
+/// Runs that start in a burst reach their peak together, which the mean use would not show.
 #[test]
 fn runs_that_start_together_have_a_higher_peak() {
     let exact = |generated| Growth::for_run(size(), generated, 0.0);
@@ -50,7 +50,7 @@
     let reserved = (0..runs).fold(Growth::default(), |sum, _| sum + Growth::for_run(size(), 0, SPREAD));
     let mut overfilled = [0; HORIZONS.len()];
     for _ in 0..cases {
-        let lengths: Vec<f64> = (0..runs).map(|_| draw(&mut rng)).collect();
+        let lengths: Vec<f64> = (0..runs).map(|_| output_length(&mut rng)).collect();
         for ((horizon, reserved), overfilled) in HORIZONS.iter().zip(reserved.0).zip(&mut overfilled) {
             let active = lengths.iter().filter(|length| **length > *horizon as f64).count() as u64;
             *overfilled += u32::from((5_000 + horizon) * active > u64::from(reserved) + 1);
@@ -62,7 +62,7 @@
 }
 
 /// Draws the length of an output whose expected length is 5,000 tokens.
-fn draw(rng: &mut ChaCha8Rng) -> f64 {
+fn output_length(rng: &mut ChaCha8Rng) -> f64 {
     // The sum of twelve uniform samples approximates a normal distribution.
     let normal = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
     (5_000.0 * (SPREAD * normal).exp()).min(9_000.0)
--- a/crates/core/tests/gateway/health.rs
+++ b/crates/core/tests/gateway/health.rs
@@ -26,7 +26,7 @@
     assert!(!health.is_ejected(at(now)));
 }
 
-/// Guards against an endpoint that hangs but keeps a good mean answer time.
+/// Guards against an endpoint that hangs but keeps a short mean response time.
 #[test]
 fn the_response_time_grows_while_a_request_hangs() {
     let mut health = Health::default();
@@ -48,7 +48,7 @@
     assert!(health.failure_ratio(at(9_000)) < 0.2);
 }
 
-/// Guards against sending requests to a replaced endpoint before the list shows the change.
+/// Guards against sending requests to a replaced endpoint until the list shows the change.
 #[test]
 fn a_replaced_endpoint_is_ejected_until_the_list_is_updated() {
     let mut health = Health::default();
@@ -58,7 +58,7 @@
     assert!(!health.is_ejected(at(5_100)));
 }
 
-/// Guards against a hanging endpoint that looks fast because hedged requests cancel its attempts.
+/// Guards against a hanging endpoint that looks fast because its requests are cancelled.
 #[test]
 fn a_cancelled_request_raises_the_response_time() {
     let mut health = Health::default();
--- a/crates/core/tests/gateway/main.rs
+++ b/crates/core/tests/gateway/main.rs
@@ -26,7 +26,7 @@
     },
 };
 
-/// Returns a time in milliseconds after the clock's origin.
+/// Returns the time `millis` milliseconds after the clock's origin.
 fn at(millis: u64) -> Time {
     Time::ZERO.plus(Duration::from_millis(millis))
 }
@@ -48,7 +48,7 @@
     Row { id: endpoint.id.clone(), version, sequence: version, endpoint: Some(Arc::new(endpoint)) }
 }
 
-fn gone(version: u64, id: &str) -> Row {
+fn removed_row(version: u64, id: &str) -> Row {
     Row { id: id.into(), version, sequence: 0, endpoint: None }
 }
 
@@ -87,13 +87,14 @@
     first_ms: u64,
     /// Decode time per token, in microseconds.
     token_us: u64,
+    /// Tokens per event.
     event_tokens: u64,
 }
 
 const SMALL: Speed = Speed { prompt_us: 18, first_ms: 150, token_us: 5_000, event_tokens: 11 };
 
-/// Records the observations of some requests at an endpoint with such an engine. Callers' estimates
-/// are alternately too high and too low.
+/// Records the observations of 20 requests at an endpoint with an engine of this speed. Callers'
+/// estimates are alternately too high and too low.
 fn train(forecasts: &mut Forecasts, now: Time, endpoint: &str, speed: Speed) {
     let (service, endpoint): (Arc<str>, Arc<str>) = ("drafting".into(), endpoint.into());
     for round in 0..20_u64 {
@@ -116,8 +117,8 @@
     }
 }
 
-/// Returns forecasts learned from requests to one endpoint.
-fn learned(speed: Speed) -> Forecasts {
+/// Returns forecasts trained with requests to one endpoint.
+fn trained(speed: Speed) -> Forecasts {
     let mut forecasts = Forecasts::default();
     train(&mut forecasts, at(0), "e-1", speed);
     forecasts
--- a/crates/core/tests/gateway/placement.rs
+++ b/crates/core/tests/gateway/placement.rs
@@ -1,4 +1,4 @@
-//! Selection of endpoints for requests.
+//! Tests of the selection of endpoints for requests.
 
 use std::{
     collections::BTreeMap,
@@ -17,9 +17,9 @@
     pools::Pools,
 };
 
-use crate::{SMALL, at, endpoint, engine, learned, row};
+use crate::{SMALL, at, endpoint, engine, row, trained};
 
-/// Target for the time to the first event.
+/// Target for the time to the first token.
 const TTFT: Duration = Duration::from_millis(900);
 
 fn directory(endpoints: Vec<Endpoint>) -> Directory {
@@ -31,7 +31,7 @@
 
 fn view<'a>(directory: &'a Directory, loads: &'a Loads, now: u64) -> View<'a> {
     static POOLS: LazyLock<Pools> = LazyLock::new(Pools::default);
-    static FORECASTS: LazyLock<Forecasts> = LazyLock::new(|| learned(SMALL));
+    static FORECASTS: LazyLock<Forecasts> = LazyLock::new(|| trained(SMALL));
     let partition = Partition { index: 0, count: 1 };
     View {
         now: at(now),
@@ -45,6 +45,7 @@
     }
 }
 
+/// Returns the ID of the selected endpoint, if any.
 fn id(found: Prefill) -> Option<Arc<str>> {
     match found {
         Prefill::Endpoint(endpoint) => Some(endpoint.id.clone()),
@@ -52,10 +53,12 @@
     }
 }
 
+/// A run that uses `memory` tokens of KV cache.
 fn run_of(memory: u64, headroom: u64) -> Run<'static> {
     Run { prompt: memory, growth: Growth::flat(memory), headroom, ttft_target: TTFT, ..Run::default() }
 }
 
+/// The load of one run that uses `memory` tokens of KV cache.
 fn share_of(memory: u64) -> Share {
     Share { running: 1, memory, prefill_tokens: 0, growth: Growth::flat(memory) }
 }
@@ -102,7 +105,7 @@
 }
 
 #[test]
-fn prefill_stays_in_the_zone_unless_it_would_wait() {
+fn prefill_stays_in_the_zone_unless_its_endpoint_has_a_backlog() {
     let far = Endpoint { zone: "zone-b".into(), ..endpoint("p-2", Stage::Prefill) };
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), far]);
     let mut loads = Loads::default();
@@ -123,7 +126,7 @@
     }
 }
 
-/// A failing endpoint responds fastest, so selection by response time alone would prefer it.
+/// A failing endpoint often responds fastest, so selection by response time alone would prefer it.
 #[test]
 fn an_endpoint_that_fails_more_than_others_is_skipped() {
     let directory = directory(vec![endpoint("w-1", Stage::Whole), endpoint("w-2", Stage::Whole)]);
@@ -135,7 +138,7 @@
     assert_eq!(found.map(|found| found.id.clone()), Some("w-2".into()));
 }
 
-/// Each replica sees few responses of an endpoint, so failures found by one must count for all.
+/// A single replica gets few responses from an endpoint, so failures at one must count for all.
 #[test]
 fn an_endpoint_reported_as_failing_by_another_replica_is_skipped() {
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), endpoint("p-2", Stage::Prefill)]);
@@ -200,7 +203,7 @@
     );
 }
 
-/// A replica that hangs must not make prefill endpoints look busy until its whole digest is stale.
+/// A replica that hangs must not block prefill endpoints until its whole digest is stale.
 #[test]
 fn prompts_of_a_silent_replica_stop_counting_before_its_runs() {
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), endpoint("d-1", Stage::Decode)]);
@@ -258,8 +261,8 @@
     assert_eq!(place(300), Some("p-1".into()));
 }
 
-/// Two replicas must not have the same decode endpoint process prompts at the same time, which
-/// would stall its runs for both.
+/// Two replicas must not use the same decode endpoint for prefill at the same time, which would
+/// stall its runs twice.
 #[test]
 fn replicas_use_separate_decode_endpoints_for_prefill() {
     let directory = directory(
@@ -287,7 +290,7 @@
     assert_eq!(found.map(|found| found.endpoint.id.clone()), Some("d-2".into()));
 }
 
-/// Two prompts in a row would stall an event that falls between them for both.
+/// Two prompts in a row would delay the same event of a run twice.
 #[test]
 fn a_decode_endpoint_pauses_between_two_prefills() {
     let directory = directory(vec![endpoint("d-1", Stage::Decode), endpoint("p-1", Stage::Prefill)]);
@@ -342,7 +345,6 @@
     assert!(runs_by_endpoint.len() >= 5, "{runs_by_endpoint:?}");
 }
 
-/// The preference must not outweigh a large difference in free memory.
 #[test]
 fn the_preference_does_not_outweigh_free_memory() {
     let directory = directory(vec![endpoint("d-1", Stage::Decode), endpoint("d-2", Stage::Decode)]);
--- a/crates/core/tests/gateway/pools.rs
+++ b/crates/core/tests/gateway/pools.rs
@@ -1,4 +1,4 @@
-//! Split between prefill and decode endpoints, and the lease on stage changes.
+//! Tests of the split between prefill and decode endpoints, and of the lease on stage changes.
 
 use std::{sync::LazyLock, time::Duration};
 
@@ -10,7 +10,7 @@
     pools::{Order, Pools, ServiceInfo},
 };
 
-use crate::{SMALL, Speed, at, endpoint, engine, gone, learned, row};
+use crate::{SMALL, Speed, at, endpoint, engine, removed_row, row, trained};
 
 fn directory(prefill: usize, decode: usize) -> Directory {
     let mut directory = Directory::default();
@@ -33,9 +33,9 @@
     );
 }
 
-/// Returns the next order, with the forecasts of a known engine.
+/// Returns the next order, with the forecasts of a [`SMALL`] engine.
 fn next_order(pools: &mut Pools, now: u64, directory: &Directory, rank: u32) -> Option<Order> {
-    static FORECASTS: LazyLock<Forecasts> = LazyLock::new(|| learned(SMALL));
+    static FORECASTS: LazyLock<Forecasts> = LazyLock::new(|| trained(SMALL));
     next_order_with(pools, now, directory, rank, &FORECASTS)
 }
 
@@ -51,8 +51,8 @@
     pools.next_order(at(now), &info, directory, &Loads::default(), rank)
 }
 
-/// Simulates 60 s of requests of one size, carrying out every order. Returns the final number of
-/// prefill endpoints and the orders.
+/// Simulates 60 s of requests of one size and carries out every order. Returns the final number of
+/// prefill endpoints, and the orders.
 fn simulate(directory: &mut Directory, prompt: u64, expected_output: u64) -> (usize, Vec<Order>) {
     let mut pools = Pools::default();
     let mut orders = Vec::new();
@@ -68,7 +68,7 @@
     (prefill_count, orders)
 }
 
-/// Prefill endpoints must not stay mostly idle while requests wait for memory at the decode
+/// Prefill endpoints must not stay mostly idle while requests are queued for memory at decode
 /// endpoints.
 #[test]
 fn endpoints_move_to_the_pool_with_more_work() {
@@ -100,7 +100,7 @@
     assert_eq!(next_order(&mut pools, 10, &directory, 0), None);
 }
 
-/// Each replica sees other requests. If any of them could order changes, the least accurate
+/// Each replica receives other requests. If any of them could order changes, the least accurate
 /// estimate would decide.
 #[test]
 fn only_the_first_replica_orders_changes() {
@@ -112,8 +112,7 @@
     assert!(next_order(&mut pools, 20_000, &directory, 0).is_some());
 }
 
-/// With outputs shorter than estimated, the remaining prefill endpoints must still handle a burst
-/// at twice the usual traffic.
+/// A split without spare prefill capacity would build up a backlog in a burst.
 #[test]
 fn the_prefill_pool_keeps_capacity_for_a_burst() {
     let (prefill_count, _) = simulate(&mut directory(4, 8), 5_000, 860);
@@ -143,8 +142,8 @@
 #[test]
 fn a_short_imbalance_moves_no_endpoint() {
     let (mut pools, directory) = (Pools::default(), directory(3, 9));
-    let normal = learned(SMALL);
-    let slow = learned(Speed { prompt_us: 80, ..SMALL });
+    let normal = trained(SMALL);
+    let slow = trained(Speed { prompt_us: 80, ..SMALL });
     for now in (0..20_000).step_by(100) {
         record_request(&mut pools, now, 5_000, 700);
         let forecasts = if (10_000..11_500).contains(&now) { &slow } else { &normal };
@@ -155,13 +154,13 @@
 /// A decode endpoint that changes rejects runs whose prompts were already processed, so an outage
 /// of a few seconds must not trigger a change.
 #[test]
-fn a_prefill_endpoint_that_is_gone_for_seconds_is_not_replaced() {
+fn a_prefill_endpoint_missing_for_seconds_is_not_replaced() {
     let (mut pools, mut directory) = (Pools::default(), directory(3, 9));
     let removed = directory.all().next().expect("a prefill endpoint").clone();
     for now in (0..20_000).step_by(100) {
         record_request(&mut pools, now, 5_000, 700);
         match now {
-            10_000 => drop(directory.update(at(now), 200, vec![gone(200, &removed.id)])),
+            10_000 => drop(directory.update(at(now), 200, vec![removed_row(200, &removed.id)])),
             13_000 => drop(directory.update(at(now), 300, vec![row(300, Endpoint::clone(&removed))])),
             _ => {}
         }
@@ -170,7 +169,7 @@
     }
 }
 
-/// If a suspended holder resumes after another replica took over, both would send orders.
+/// If another replica took over too early, a suspended holder that resumes could send orders too.
 #[test]
 fn the_lease_passes_to_another_replica_only_after_it_has_expired() {
     let claim = |holder: &str, asked_ms| Claim { holder: holder.into(), asked_ms, version: 7 };
--- a/crates/core/tests/gateway/queue.rs
+++ b/crates/core/tests/gateway/queue.rs
@@ -1,4 +1,4 @@
-//! Queue order when memory is short.
+//! Tests of the queue's order when memory is scarce.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -43,8 +43,7 @@
     assert_eq!(placed(queue.dispatch(at(800), |_| Some(()))), [2, 3, 1]);
 }
 
-/// A long prompt takes longer to prefill, so it has less time to wait than a short one that came
-/// before it.
+/// A long prompt takes longer to prefill, so it can be due before a short one that arrived earlier.
 #[test]
 fn the_earliest_deadline_comes_first() {
     let mut queue = Queue::default();
@@ -71,8 +70,8 @@
     assert_eq!(placed(queue.dispatch(at(10), |entry| (&*entry.service == "other").then_some(()))), [2]);
 }
 
-/// A request that starts after its caller has disconnected wastes memory; one that is refused at
-/// once can be retried elsewhere.
+/// A request that outlives its caller's connection wastes memory; one that is refused can be
+/// retried elsewhere.
 #[test]
 fn a_request_past_its_hard_deadline_expires() {
     let mut queue = Queue::default();
@@ -90,7 +89,7 @@
     refused: u32,
 }
 
-/// Queue order to simulate.
+/// Queue order in the simulation.
 #[derive(Clone, Copy, PartialEq)]
 enum Order {
     /// By arrival.
@@ -100,12 +99,16 @@
 }
 
 const SLOTS: usize = 80;
+/// Mean duration of a run.
 const RUN_MS: u64 = 3_300;
+/// Time from placement to the first event.
 const FIRST_MS: u64 = 300;
+/// Target for the time to the first event.
 const TARGET_MS: u64 = 900;
-const STALL_MS: u64 = 3_600;
+/// Time after which callers without an event disconnect.
+const STALL_TIMEOUT_MS: u64 = 3_600;
 
-/// Simulates a burst of 5 s at 1.3 times the capacity, within a load of 0.7 times the capacity.
+/// Simulates 15 s at 0.7 times the capacity, with a burst of 5 s at 1.3 times the capacity.
 fn simulate(order: Order, seed: u64) -> Counts {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut queue = Queue::default();
@@ -119,8 +122,8 @@
             let tag = arrivals.len() as u32;
             arrivals.insert(tag, now);
             let soft_deadline =
-                if order == Order::Arrival { now + STALL_MS } else { now + TARGET_MS - FIRST_MS };
-            queue.push(entry(tag, soft_deadline, now + STALL_MS - FIRST_MS));
+                if order == Order::Arrival { now + STALL_TIMEOUT_MS } else { now + TARGET_MS - FIRST_MS };
+            queue.push(entry(tag, soft_deadline, now + STALL_TIMEOUT_MS - FIRST_MS));
         }
         ends.retain(|end| *end > now);
         let mut free_slots = SLOTS - ends.len();
@@ -148,8 +151,7 @@
     counts
 }
 
-/// Served by arrival, every request in a long burst would become late and stay late until well
-/// after it.
+/// Served by arrival, all requests would be late from early in the burst until well after it.
 #[test]
 fn most_requests_stay_on_time_in_a_burst() {
     for seed in 1..=5 {
--- a/crates/core/tests/gateway/rate_limit.rs
+++ b/crates/core/tests/gateway/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits enforced over several replicas.
+//! Tests of rate limits enforced over several replicas.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -64,7 +64,7 @@
     assert_eq!(one.spend(at(10_000), "faculty", 1_000), Ok(()));
 }
 
-/// Guards against granting a customer a full burst with every process start.
+/// Guards against granting a customer a full burst whenever a replica restarts.
 #[test]
 fn a_new_process_takes_over_the_level_of_a_peer() {
     let faculty = Arc::new(customer("faculty", RATE, BURST));
@@ -101,12 +101,12 @@
             }
         }
     }
-    // Each replica grants its initial level, and the full rate until the others count as silent.
+    // Each replica grants its initial level, and the full rate until its peers count as silent.
     let limit = 4 * (BURST / 4 + RATE) + 8 * RATE;
     assert!(spent <= limit, "{spent} of {limit}");
 }
 
-/// The sum stays within the limit for any exchange of digests, including lost and late ones.
+/// The limit must hold for any interleaving of requests and digests.
 #[test]
 fn total_spending_stays_within_rate_and_burst() {
     fn property(steps: Vec<(u8, u8)>) -> TestResult {
@@ -115,22 +115,22 @@
         let mut serials: BTreeMap<usize, u64> = BTreeMap::new();
         let mut spent = 0;
         let mut now = 0;
-        for (actor, what) in steps {
-            let actor = usize::from(actor) % replicas.len();
+        for (sender, action) in steps {
+            let sender = usize::from(sender) % replicas.len();
             now += 20;
-            if what % 4 != 0 {
-                spent += replicas[actor].spend(at(now), "faculty", 20).map_or(0, |()| 20);
+            if action % 4 != 0 {
+                spent += replicas[sender].spend(at(now), "faculty", 20).map_or(0, |()| 20);
                 continue;
             }
-            let serial = serials.entry(actor).or_default();
+            let serial = serials.entry(sender).or_default();
             *serial += 1;
-            let digest = digest(["a", "b", "c"][actor], *serial, &mut replicas[actor], now);
-            for (index, replica) in replicas.iter_mut().enumerate().filter(|(index, _)| *index != actor) {
+            let digest = digest(["a", "b", "c"][sender], *serial, &mut replicas[sender], now);
+            for (index, replica) in replicas.iter_mut().enumerate().filter(|(index, _)| *index != sender) {
                 replica.apply_digest(at(now), &digest);
                 let _ = index;
             }
         }
-        // Three initial levels, and the spending that is missing from the digests.
+        // Allows for three initial levels, and for spending that no digest has reported yet.
         let limit = BURST + now * RATE / 1_000 + 3 * BURST / 4;
         TestResult::from_bool(spent <= limit)
     }
@@ -140,7 +140,7 @@
         .quickcheck(property as fn(Vec<(u8, u8)>) -> TestResult);
 }
 
-/// Guards against equal retry delays, with which all but one of the callers are refused again.
+/// Guards against equal retry delays, with which all but one of the callers would be refused again.
 #[test]
 fn refused_callers_get_successive_retry_delays() {
     let faculty = Arc::new(customer("faculty", RATE, BURST));
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -17,7 +17,7 @@
     refusal::Code,
 };
 
-use crate::{SMALL, Speed, at, customer, endpoint, engine, gone, route, row};
+use crate::{SMALL, Speed, at, customer, endpoint, engine, removed_row, route, row};
 
 fn state() -> State<u32> {
     let identity = Identity {
@@ -38,7 +38,8 @@
     Arc::new(catalog)
 }
 
-fn serving() -> State<u32> {
+/// Returns a state with a configuration, a prefill endpoint and a decode endpoint.
+fn ready_state() -> State<u32> {
     let mut state = state();
     state.apply_catalog(at(0), 10, catalog(1, 0));
     let rows = vec![row(1, endpoint("p-1", Stage::Prefill)), row(2, endpoint("d-1", Stage::Decode))];
@@ -46,7 +47,7 @@
     state
 }
 
-/// A completion whose run takes `memory` tokens.
+/// A completion whose run uses `memory` tokens of KV cache.
 fn completion(memory: u64) -> Completion {
     Completion {
         service: "drafting".into(),
@@ -74,7 +75,7 @@
 
 #[test]
 fn a_run_waits_until_another_releases_its_memory() {
-    let mut state = serving();
+    let mut state = ready_state();
     state.enqueue(at(0), completion(40_000), 1);
     state.enqueue(at(0), completion(40_000), 2);
     let mut first = state.dispatch(at(10));
@@ -90,10 +91,11 @@
     assert!(matches!(&state.dispatch(at(40))[..], [(Entry { tag: 2, .. }, Verdict::Placed(_))]));
 }
 
-/// Guards against requests that wait for busy prefill endpoints while decode endpoints are free.
+/// Guards against requests that stay queued for busy prefill endpoints while a decode endpoint is
+/// idle.
 #[test]
 fn a_decode_endpoint_prefills_one_prompt_while_prefill_endpoints_are_busy() {
-    let mut state = serving();
+    let mut state = ready_state();
     for tag in 0..8 {
         state.enqueue(at(0), completion(4_000), tag);
     }
@@ -117,7 +119,7 @@
 /// Guards against a long prefill on a decode endpoint that stalls its other runs.
 #[test]
 fn a_long_prompt_waits_for_a_prefill_endpoint() {
-    let mut state = serving();
+    let mut state = ready_state();
     observe_requests(&mut state, 0, SMALL);
     for tag in 0..4 {
         state.enqueue(at(0), completion(11_000), tag);
@@ -142,26 +144,26 @@
 
 #[test]
 fn reservations_are_shared_through_digests() {
-    let mut state = serving();
+    let mut state = ready_state();
     state.enqueue(at(0), completion(40_000), 1);
     assert_eq!(state.dispatch(at(10)).len(), 1);
     let (digest, _) = state.next_digest(at(20));
     assert_eq!(digest.shares.get("d-1").map(|share| share.memory), Some(40_000));
 
-    let mut other = serving();
+    let mut other = ready_state();
     let from = "127.0.0.1:8".parse().expect("an address");
     other.apply_digest(at(30), &Digest { name: "first".into(), ..digest }, from);
     other.enqueue(at(0), completion(40_000), 2);
     assert!(other.dispatch(at(40)).is_empty());
 }
 
-/// A removal counts as a crash when a request was interrupted there shortly before.
 #[test]
 fn removal_after_an_interrupted_request_counts_as_a_crash() {
-    let mut state = serving();
+    let mut state = ready_state();
     for (now, id) in [(0, "d-1"), (1_000, "p-1")] {
         state.record_interrupted(at(now), &id.into(), 77);
-        let listing = Listing { version: 10 + now, is_complete: false, rows: vec![gone(10 + now, id)] };
+        let listing =
+            Listing { version: 10 + now, is_complete: false, rows: vec![removed_row(10 + now, id)] };
         state.apply_listing(at(now + 500), listing);
     }
     let admission = Admission { customer: None, tokens: 1, service: "drafting".into(), fingerprint: 77 };
@@ -169,10 +171,9 @@
     assert_eq!(refusal.code, Code::Quarantined);
 }
 
-/// Guards against forecasts that make idle endpoints refuse requests, for engines of different
-/// speed.
+/// Guards against forecasts that let requests expire although the endpoints are idle.
 #[test]
-fn idle_endpoints_accept_requests_for_any_engine_speed() {
+fn idle_endpoints_get_requests_at_any_engine_speed() {
     let speeds = [
         SMALL,
         Speed { prompt_us: 2, first_ms: 15, token_us: 500, event_tokens: 1 },
@@ -180,9 +181,9 @@
         Speed { prompt_us: 180, first_ms: 400, token_us: 20_000, event_tokens: 4 },
     ];
     for speed in speeds {
-        let mut state = serving();
-        let answer = 10_000_000 / speed.token_us;
-        let size = Size { prompt: 5_000, expected_output: answer, max_output: answer * 2 };
+        let mut state = ready_state();
+        let output = 10_000_000 / speed.token_us;
+        let size = Size { prompt: 5_000, expected_output: output, max_output: output * 2 };
         for now in [0, 1_000] {
             let completion =
                 Completion { size, received: at(now), deadline: at(now + 14_000), ..completion(0) };
@@ -197,19 +198,19 @@
     }
 }
 
-/// Records some requests at the endpoints of a replica.
+/// Records the observations of 20 requests at the endpoints of a replica.
 fn observe_requests(state: &mut State<u32>, now: u64, speed: Speed) {
-    let (reader, run) = (endpoint("p-1", Stage::Prefill), endpoint("d-1", Stage::Decode));
-    let gap = Duration::from_micros(speed.token_us * speed.event_tokens);
+    let (prefill, decode) = (endpoint("p-1", Stage::Prefill), endpoint("d-1", Stage::Decode));
+    let interval = Duration::from_micros(speed.token_us * speed.event_tokens);
     for _ in 0..20 {
         let took = Duration::from_micros(5_000 * speed.prompt_us);
-        state.record_observation(at(now), &reader, Observation::Prefill { tokens: 5_000, took });
+        state.record_observation(at(now), &prefill, Observation::Prefill { tokens: 5_000, took });
         let took = Duration::from_millis(speed.first_ms);
-        state.record_observation(at(now), &run, Observation::FirstEvent { prompt: 5_000, took });
-        state.record_observation(at(now), &run, Observation::Events { events: 10, span: gap * 10 });
+        state.record_observation(at(now), &decode, Observation::FirstEvent { prompt: 5_000, took });
+        state.record_observation(at(now), &decode, Observation::Events { events: 10, span: interval * 10 });
         state.record_observation(
             at(now),
-            &run,
+            &decode,
             Observation::Completed { expected: 100 * speed.event_tokens, events: 100 },
         );
     }
@@ -218,8 +219,8 @@
 
 /// Guards against placing a request that cannot finish in time and only occupies memory.
 #[test]
-fn a_request_that_cannot_end_in_time_is_refused_at_once() {
-    let mut state = serving();
+fn a_request_that_cannot_finish_in_time_expires_at_once() {
+    let mut state = ready_state();
     observe_requests(&mut state, 0, SMALL);
     let size = Size { prompt: 5_000, expected_output: 12_000, max_output: 12_000 };
     state.enqueue(at(10), Completion { size, ..completion(0) }, 1);
@@ -227,15 +228,15 @@
     assert!(state.memory_retry_after("drafting") > Duration::from_millis(1_000));
 }
 
-/// Guards against a new replica without forecasts until it has seen requests of its own.
+/// Guards against a new replica that has no forecasts until it has served requests itself.
 #[test]
 fn a_new_replica_receives_forecasts_from_its_peers() {
-    let mut first = serving();
+    let mut first = ready_state();
     observe_requests(&mut first, 0, SMALL);
     let digest =
         (0..10).map(|tick| first.next_digest(at(tick * 100)).0).find(|digest| !digest.forecasts.is_empty());
     let digest = Digest { name: "first".into(), ..digest.expect("every tenth digest has forecasts") };
-    let mut other = serving();
+    let mut other = ready_state();
     other.apply_digest(at(1_000), &digest, "127.0.0.1:8".parse().expect("an address"));
     assert_eq!(other.forecast("drafting"), first.forecast("drafting"));
 }
@@ -244,10 +245,10 @@
 /// endpoint.
 #[test]
 fn observations_of_a_removed_endpoint_are_ignored() {
-    let mut state = serving();
+    let mut state = ready_state();
     observe_requests(&mut state, 0, SMALL);
     let before = state.forecast("drafting");
-    let listing = Listing { version: 10, is_complete: false, rows: vec![gone(10, "d-1")] };
+    let listing = Listing { version: 10, is_complete: false, rows: vec![removed_row(10, "d-1")] };
     state.apply_listing(at(1_000), listing);
     observe_requests(&mut state, 1_000, Speed { token_us: 40_000, ..SMALL });
     state.tick(at(1_100));
