--- a/crates/core/src/gateway/rate_limit.rs
+++ b/crates/core/src/gateway/rate_limit.rs
@@ -135,8 +135,8 @@
         let missing = (needed - self.level).max(self.deferred + needed - self.level.max(0));
         let max_deferred = signed(micros(MAX_RETRY_AFTER)) * self.rate;
         self.deferred = missing.min(max_deferred);
-        let wait = u64::try_from(missing.min(max_deferred) / self.rate.max(1)).unwrap_or_default();
-        Duration::from_micros(wait).max(MIN_RETRY_AFTER)
+        let delay = u64::try_from(missing.min(max_deferred) / self.rate.max(1)).unwrap_or_default();
+        Duration::from_micros(delay).max(MIN_RETRY_AFTER)
     }
 
     /// Subtracts what a peer has spent since its previous total, and gives back the charge for its
@@ -181,7 +181,7 @@
     accounts: BTreeMap<Arc<str>, Account>,
     /// Customers with spending since the last digest that included them.
     unreported: BTreeSet<Arc<str>>,
-    /// Last customer, by name, that the previous digest included in turn; the next one continues
+    /// Last customer that the rotation by name has included in a digest; the next digest continues
     /// after it.
     cursor: Arc<str>,
     started: Time,
--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -277,7 +277,7 @@
             return Err(Refusal::not_run(Code::Quarantined, "the request has crashed endpoints"));
         }
         if let Some(customer) = &admission.customer
-            && let Err(wait) = self.rate_limiter.spend(now, &customer.name, admission.tokens)
+            && let Err(delay) = self.rate_limiter.spend(now, &customer.name, admission.tokens)
         {
             let left = self.rate_limiter.tokens_left_for(&customer.name);
             let Customer { name, rate, burst, .. } = &**customer;
@@ -285,7 +285,7 @@
             let message = format!(
                 "{name} requested {requested} tokens but has {left} left; rate {rate}, burst {burst}"
             );
-            return Err(Refusal::not_run(Code::OverRate, message).with_retry_after(wait));
+            return Err(Refusal::not_run(Code::OverRate, message).with_retry_after(delay));
         }
         self.budget.record_request(now, &admission.service);
         Ok(())
@@ -439,7 +439,7 @@
         format!("{queued} requests queued; {}", self.view(now).describe(service, Stage::Decode))
     }
 
-    /// Removes queued requests whose callers are gone.
+    /// Removes queued requests whose callers have disconnected.
     pub fn retain_queued(&mut self, keep: impl Fn(&T) -> bool) {
         self.queue.retain(keep);
     }
--- a/crates/core/tests/gateway/rate_limit.rs
+++ b/crates/core/tests/gateway/rate_limit.rs
@@ -146,14 +146,14 @@
     let faculty = Arc::new(customer("faculty", RATE, BURST));
     let mut rate_limiter = rate_limiter(&faculty);
     assert_eq!(rate_limiter.spend(at(10_000), "faculty", BURST), Ok(()));
-    let waits: Vec<u64> = (0..4)
+    let delays: Vec<u64> = (0..4)
         .map(|_| {
             rate_limiter.spend(at(10_000), "faculty", 1_000).expect_err("over the rate").as_millis() as u64
         })
         .collect();
-    assert_eq!(waits, [1_000, 2_000, 3_000, 4_000]);
-    for wait in waits {
-        assert_eq!(rate_limiter.spend(at(10_000 + wait), "faculty", 1_000), Ok(()));
+    assert_eq!(delays, [1_000, 2_000, 3_000, 4_000]);
+    for delay in delays {
+        assert_eq!(rate_limiter.spend(at(10_000 + delay), "faculty", 1_000), Ok(()));
     }
 }
 
--- a/crates/core/tests/gateway/state.rs
+++ b/crates/core/tests/gateway/state.rs
@@ -106,7 +106,7 @@
     });
     let pairs: Vec<_> = pairs.collect();
     let local: Vec<_> = pairs.iter().filter(|pair| pair.prefill.is_none()).collect();
-    // The prefill endpoint takes six prompts, the decode endpoint one; the last request waits.
+    // The prefill endpoint takes six prompts, the decode endpoint one; the last request stays queued.
     assert_eq!((pairs.len(), local.len()), (7, 1));
     let mut lease = local[0].decode.lease.clone();
     state.record_first_event(at(200), &lease);
