--- a/crates/core/src/gateway/load.rs
+++ b/crates/core/src/gateway/load.rs
@@ -12,8 +12,8 @@
 
 /// Age at which the load in a peer's digest no longer counts.
 const STALE_AFTER: Duration = Duration::from_secs(3);
-/// Age at which prompts in a peer's digest count as processed. Shorter than
-/// [`STALE_AFTER`], so that a replica that hangs does not block prefill endpoints for the others.
+/// Age at which prompts in a peer's digest count as processed. Shorter than [`STALE_AFTER`], so
+/// that a replica that hangs does not block prefill endpoints for the others.
 const PREFILL_STALE_AFTER: Duration = Duration::from_millis(600);
 /// How long an endpoint counts as full after it refused a request or run.
 const FULL_DURATION: Duration = Duration::from_millis(100);
