--- a/crates/core/src/gateway/state.rs
+++ b/crates/core/src/gateway/state.rs
@@ -1,6 +1,7 @@
 //! The state that one replica's routing decisions are based on.
 //!
-//! It is owned by the control thread. `T` identifies the caller of a queued request.
+//! It is owned by the control thread. `T` is the handle by which the caller of a queued request
+//! gets the result.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -28,12 +29,12 @@
 
 /// Retry delay for callers when an endpoint is expected to return soon.
 pub const ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// Bounds of the retry delay for callers that found no free memory: earlier, the same runs still
-/// occupy it; later, the callers have often left.
+/// Bounds of the retry delay for callers that found no free memory. A shorter delay would find the
+/// same runs in memory; with a longer one, many callers give up.
 const MIN_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(300);
 const MAX_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(3_000);
-/// Pause between two prefills on a decode endpoint, in event gaps of its runs, so that one event is
-/// not delayed by both.
+/// Pause between two prefills on a decode endpoint, in event intervals of its runs, so that no
+/// event is delayed by both.
 const PREFILL_PAUSE_EVENTS: u32 = 2;
 /// One in this many digests carries forecasts.
 const DIGESTS_PER_FORECAST: u64 = 10;
@@ -56,10 +57,10 @@
 pub struct Assignment {
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// Returned when the request ends at the endpoint.
+    /// The request's load on the endpoint; to be released when the request ends there.
     pub lease: Lease,
-    /// Prompt tokens queued for prefill there, including this prompt; zero if there is nothing to
-    /// prefill.
+    /// Prompt tokens queued for prefill at the endpoint, including this prompt; zero if there is
+    /// nothing to prefill.
     pub prefill_tokens: u64,
     /// Time limit for the prefill before another endpoint is tried; zero if there is nothing to
     /// prefill.
@@ -71,13 +72,13 @@
 pub struct Listing {
     /// Version of the list.
     pub version: u64,
-    /// Whether endpoints without a row have been removed.
+    /// Whether the list has all endpoints, so that those missing from it were removed.
     pub is_complete: bool,
     /// The rows.
     pub rows: Vec<Row>,
 }
 
-/// A request for admission.
+/// Properties of a request that decide whether it is admitted.
 #[derive(Clone, Debug)]
 pub struct Admission {
     /// The caller, if it is known.
@@ -93,9 +94,9 @@
 /// The endpoints of a completion.
 #[derive(Clone, Debug)]
 pub struct Pair {
-    /// Decodes the answer.
+    /// Endpoint that decodes the output.
     pub decode: Assignment,
-    /// Prefills the prompt; without one, the decode endpoint does.
+    /// Endpoint that prefills the prompt; if `None`, the decode endpoint does.
     pub prefill: Option<Assignment>,
 }
 
@@ -107,7 +108,7 @@
 pub struct State<T> {
     identity: Identity,
     catalog: Option<Arc<Catalog>>,
-    /// Versions read from the store; a larger configuration order is newer.
+    /// Versions read from the store and known to peers.
     staleness: Staleness,
     directory: Directory,
     loads: Loads,
@@ -142,12 +143,12 @@
     }
 
     /// Applies a configuration; returns false if it is not newer than the current one.
-    pub fn apply_catalog(&mut self, now: Time, order: u64, catalog: Arc<Catalog>) -> bool {
-        if self.catalog.is_some() && order <= self.staleness.own().configuration {
+    pub fn apply_catalog(&mut self, now: Time, row_version: u64, catalog: Arc<Catalog>) -> bool {
+        if self.catalog.is_some() && row_version <= self.staleness.own().configuration {
             return false;
         }
         self.rate_limiter.update_customers(now, catalog.customers());
-        self.staleness.record_configuration(now, order);
+        self.staleness.record_configuration(now, row_version);
         self.catalog = Some(catalog);
         true
     }
@@ -160,7 +161,8 @@
 
     /// Applies the list of a peer whose newest row is `newest`.
     pub fn apply_peer_listing(&mut self, now: Time, mut listing: Listing, newest: u64) -> Vec<Change> {
-        // Rows that the peer lacks may have lapsed only during a store outage.
+        // Once a list has been read, rows that the peer lacks are kept: they may only have lapsed
+        // during a store outage.
         listing.is_complete &= !self.directory.is_loaded();
         let changes = self.update_directory(now, listing);
         self.staleness.record_endpoints(now, newest);
@@ -187,8 +189,8 @@
                 }
                 Change::Removed(endpoint) => {
                     self.suspects.record_crash(now, &endpoint.id);
-                    self.loads.forget(&endpoint.id);
-                    self.forecasts.forget(&endpoint.service, &endpoint.id);
+                    self.loads.remove_if_idle(&endpoint.id);
+                    self.forecasts.remove_endpoint(&endpoint.service, &endpoint.id);
                 }
                 Change::Updated(endpoint) => self.pools.confirm(endpoint),
                 Change::Draining(_) | Change::Lapsed(_) => {}
@@ -213,15 +215,15 @@
         }
         self.staleness.record_peer(now, digest.versions);
         self.rate_limiter.apply_digest(now, digest);
-        self.loads.merge_digest(now, digest);
+        self.loads.apply_digest(now, digest);
         self.suspects.apply_digest(digest);
-        self.forecasts.merge_peer(&digest.name, &digest.forecasts);
+        self.forecasts.apply_peer_forecasts(&digest.name, &digest.forecasts);
         for (endpoint, change) in &digest.changing {
-            self.pools.merge_change(now, endpoint, *change);
+            self.pools.record_peer_change(now, endpoint, *change);
         }
     }
 
-    /// Whether a digest should be sent before the next one is due.
+    /// Returns whether a digest should be sent before the next one is due.
     pub fn is_digest_urgent(&self) -> bool {
         self.rate_limiter.is_digest_urgent()
     }
@@ -253,14 +255,14 @@
         (digest, self.peers.members().collect())
     }
 
-    /// Applies timeouts; must be called several times a second. Returns changed endpoints and
-    /// expired peers.
+    /// Applies timeouts and recomputes the forecasts; must be called several times a second.
+    /// Returns changed endpoints and expired peers.
     pub fn tick(&mut self, now: Time) -> (Vec<Change>, Vec<Arc<str>>) {
         let expired = self.peers.remove_expired(now);
         for peer in &expired {
             self.rate_limiter.remove_peer(peer);
             self.suspects.remove_peer(peer);
-            self.forecasts.forget_peer(peer);
+            self.forecasts.remove_peer(peer);
         }
         self.rate_limiter.charge_silent_peers(now, &self.peers);
         self.forecasts.recompute();
@@ -275,32 +277,33 @@
             return Err(Refusal::not_run(Code::Quarantined, "the request has crashed endpoints"));
         }
         if let Some(customer) = &admission.customer
-            && let Err(wait) = self.rate_limiter.spend(now, &customer.name, admission.tokens)
+            && let Err(delay) = self.rate_limiter.spend(now, &customer.name, admission.tokens)
         {
             let left = self.rate_limiter.tokens_left_for(&customer.name);
             let Customer { name, rate, burst, .. } = &**customer;
-            let asked = admission.tokens;
-            let message =
-                format!("{name} asked for {asked} tokens and has {left} left; rate {rate}, burst {burst}");
-            return Err(Refusal::not_run(Code::OverRate, message).with_retry_after(wait));
+            let requested = admission.tokens;
+            let message = format!(
+                "{name} requested {requested} tokens but has {left} left; rate {rate}, burst {burst}"
+            );
+            return Err(Refusal::not_run(Code::OverRate, message).with_retry_after(delay));
         }
         self.budget.record_request(now, &admission.service);
         Ok(())
     }
 
-    /// Returns the tokens of a request that did not run.
+    /// Gives back the tokens of a request that did not run.
     pub fn refund(&mut self, admission: &Admission) {
         if let Some(customer) = &admission.customer {
             self.rate_limiter.refund(&customer.name, admission.tokens);
         }
     }
 
-    /// Takes a retry from the retry budget; returns false if none is left.
+    /// Spends one retry of the service's retry budget; returns false if none is left.
     pub fn retry(&mut self, now: Time, service: &Arc<str>) -> bool {
         self.budget.try_spend(now, service, self.peers.count())
     }
 
-    /// Whether a service currently has separate prefill or decode endpoints.
+    /// Returns whether a service currently has separate prefill or decode endpoints.
     pub fn is_split(&self, now: Time, service: &str) -> bool {
         let view = self.view(now);
         view.has_stage(service, Stage::Decode) || view.has_stage(service, Stage::Prefill)
@@ -313,7 +316,7 @@
         service: &str,
         avoid: &[Arc<str>],
     ) -> Result<Assignment, Refusal> {
-        let found = self.view(now).whole(service, avoid);
+        let found = self.view(now).pick_whole(service, avoid);
         let share = Share { running: 1, ..Share::default() };
         found.map(|endpoint| self.assign(now, endpoint, share, None)).ok_or_else(no_endpoint)
     }
@@ -322,14 +325,15 @@
     pub fn place_prefill(&mut self, now: Time, prompt: &Prompt) -> Option<Assignment> {
         let Prompt { service, tokens, ttft_target, zone, avoid } = prompt;
         let ttft_target = target_or_default(*ttft_target);
-        let Prefill::Endpoint(endpoint) = self.view(now).prefill(service, *tokens, ttft_target, zone, avoid)
+        let Prefill::Endpoint(endpoint) =
+            self.view(now).pick_prefill(service, *tokens, ttft_target, zone, avoid)
         else {
             return None;
         };
         Some(self.assign_prefill(now, endpoint, *tokens, ttft_target))
     }
 
-    /// Queues a completion; [`Self::dispatch`] returns it once it is placed or expired.
+    /// Queues a completion; [`Self::dispatch`] returns it once it is placed or has expired.
     pub fn enqueue(&mut self, now: Time, completion: Completion, tag: T) {
         let forecast = self.forecasts.service(&completion.service);
         let engine = self.engine(&completion.service);
@@ -337,7 +341,7 @@
             self.pools.record_request(now, &completion.service, engine, completion.size);
         }
         let mut entry = completion.into_entry(&forecast, tag);
-        // A request that needs more than an endpoint's memory runs alone, with all of it.
+        // A request that needs more than an endpoint's memory reserves all of it and runs alone.
         entry.memory = entry.memory.min(engine.map_or(u64::MAX, |engine| engine.memory));
         self.queue.push(entry);
     }
@@ -346,7 +350,8 @@
         self.catalog.as_ref()?.service(service)?.engine
     }
 
-    /// Records an observation, unless the endpoint was removed: its record would never be deleted.
+    /// Records an observation. Ignored if the endpoint was removed, since the record would never be
+    /// deleted.
     pub fn record_observation(&mut self, now: Time, endpoint: &Endpoint, observation: Observation) {
         if self.directory.get(&endpoint.id).is_none() {
             return;
@@ -377,7 +382,8 @@
         half.map_or(ENDPOINT_RETRY_AFTER, |half| half.clamp(MIN_MEMORY_RETRY_AFTER, MAX_MEMORY_RETRY_AFTER))
     }
 
-    /// Returns the next endpoint that should change its pool; must be called once per tick.
+    /// Returns the next order to move an endpoint to another pool, if one is due; must be called
+    /// once per tick.
     pub fn next_order(&mut self, now: Time) -> Option<Order> {
         let catalog = self.catalog.clone()?;
         let rank = self.peers.rank(now);
@@ -390,12 +396,12 @@
         })
     }
 
-    /// Records that an order was not carried out.
+    /// Drops an order that was not carried out.
     pub fn cancel_order(&mut self, endpoint: &str) {
         self.pools.cancel(endpoint);
     }
 
-    /// Places queued requests for which there is room.
+    /// Removes requests from the queue that can be placed now or have expired, and returns them.
     pub fn dispatch(&mut self, now: Time) -> Vec<Dispatched<T>> {
         if self.catalog.is_none() {
             return Vec::new();
@@ -406,7 +412,7 @@
         placed
     }
 
-    /// Assigns endpoints to a completion; `None` if it has to wait.
+    /// Assigns endpoints to a completion; `None` if it has to stay queued.
     fn place(&mut self, now: Time, entry: &Entry<T>) -> Option<Pair> {
         let Entry { service, size, memory, target_gap, ttft_target, avoid, .. } = entry;
         let engine = self.engine(service)?;
@@ -419,7 +425,7 @@
             ttft_target: *ttft_target,
             avoid,
         };
-        let Placement { endpoint, prefill } = self.view(now).pair(service, &engine, &run)?;
+        let Placement { endpoint, prefill } = self.view(now).pick_pair(service, &engine, &run)?;
         let prefill_tokens = if prefill.is_some() { 0 } else { size.prompt };
         let share = Share { running: 1, memory: *memory, prefill_tokens, ..Share::default() };
         let decode = self.assign(now, endpoint, share, Some(Estimate { size: *size, spread }));
@@ -427,13 +433,13 @@
         Some(Pair { decode, prefill })
     }
 
-    /// Summarizes queue and decode pool of a service on one line, for refusals.
+    /// Summarizes the queue and the decode pool of a service on one line, for logs of refusals.
     pub fn describe(&self, now: Time, service: &str) -> String {
-        let waiting = self.queue.len();
-        format!("{waiting} wait; {}", self.view(now).describe(service, Stage::Decode))
+        let queued = self.queue.len();
+        format!("{queued} requests queued; {}", self.view(now).describe(service, Stage::Decode))
     }
 
-    /// Removes queued requests whose callers are gone.
+    /// Removes queued requests whose callers have disconnected.
     pub fn retain_queued(&mut self, keep: impl Fn(&T) -> bool) {
         self.queue.retain(keep);
     }
@@ -443,8 +449,8 @@
         self.queue.len()
     }
 
-    /// Records the beginning of an answer.
-    pub fn record_answer(&mut self, now: Time, lease: &Lease) {
+    /// Records the first event of a response.
+    pub fn record_first_event(&mut self, now: Time, lease: &Lease) {
         let endpoint = self.directory.get(&lease.endpoint);
         let forecast = endpoint.map(|endpoint| self.forecasts.endpoint(now, &endpoint.service, &endpoint.id));
         let pause = forecast.unwrap_or_default().typical_event_interval() * PREFILL_PAUSE_EVENTS;
@@ -458,7 +464,7 @@
             self.suspects.record_crash(now, &lease.endpoint);
         }
         if self.directory.get(&lease.endpoint).is_none() {
-            self.loads.forget(&lease.endpoint);
+            self.loads.remove_if_idle(&lease.endpoint);
         }
     }
 
@@ -467,7 +473,8 @@
         self.suspects.record_interrupted(now, endpoint, fingerprint);
     }
 
-    /// Whether configuration and endpoints have been read, so that requests can be placed.
+    /// Returns whether the configuration and endpoints have been read, so that requests can be
+    /// placed.
     pub fn is_ready(&self) -> bool {
         self.catalog.is_some() && self.directory.is_loaded()
     }
@@ -477,14 +484,14 @@
         self.staleness.own()
     }
 
-    /// Whether a peer has a newer configuration than this replica.
+    /// Returns whether a peer has a newer configuration than this replica.
     pub fn is_configuration_stale(&self, now: Time) -> bool {
         let own = Versions { endpoints: u64::MAX, ..self.staleness.own() };
         self.peers.ahead_of(now, own).next().is_some()
     }
 
-    /// Returns the peers that have data which the store should have delivered by now; empty if
-    /// nothing is overdue.
+    /// Returns the peers that have data which the store should have delivered to this replica by
+    /// now; empty if nothing is overdue.
     pub fn catch_up_peers(&self, now: Time) -> Vec<Member> {
         if !self.staleness.is_overdue(now) {
             return Vec::new();
@@ -563,9 +570,9 @@
         prompt: u64,
         ttft_target: Duration,
     ) -> Assignment {
-        let ahead = self.loads.get(&endpoint.id).map_or(0, |load| load.total(now).prefill_tokens);
+        let queued = self.loads.get(&endpoint.id).map_or(0, |load| load.total(now).prefill_tokens);
         let forecast = self.forecasts.endpoint(now, &endpoint.service, &endpoint.id);
-        let prefill_tokens = ahead + prompt;
+        let prefill_tokens = queued + prompt;
         let prefill_timeout = forecast.prefill_timeout(prefill_tokens, ttft_target);
         let share = Share { prefill_tokens: prompt, ..Share::default() };
         Assignment { prefill_tokens, prefill_timeout, ..self.assign(now, endpoint, share, None) }
