--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Ends the body. Without this call, the caller can tell that the response is truncated.
+    /// Ends the body. A body that is not ended is truncated, which the caller detects.
     pub async fn finish(&mut self) -> io::Result<()> {
         if self.progress == (Progress::Started { chunked: true }) {
             self.write(body::LAST_CHUNK).await?;
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! State shared by all requests of the process.
+//! State shared by all tasks, and the state of one request.
 
 use std::{
     sync::{
@@ -23,16 +23,16 @@
     pool::Pool,
 };
 
-/// Times of a shutdown in progress.
+/// Schedule of a shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shutdown {
-    /// Until then, the load balancer may still send callers to this process.
+    /// Until this time, the load balancer may still send callers here.
     pub(crate) drain_delay_ends: Time,
     /// Latest time at which the process ends.
     pub(crate) deadline: Time,
 }
 
-/// Shared by all tasks.
+/// State shared by all tasks.
 pub(crate) struct Context {
     pub(crate) clock: Clock,
     pub(crate) control: Control,
@@ -69,22 +69,22 @@
     }
 }
 
-/// Timeout of background messages. They only release resources, which also expire on their own.
+/// Timeout of background messages, which only release resources; endpoints also release those after a while.
 const DETACHED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Caller's request that has been identified.
+/// A caller's request whose route and customer are known.
 pub(crate) struct Inbound {
     pub(crate) head: Request,
     pub(crate) body: Bytes,
     pub(crate) metadata: Metadata,
     pub(crate) route: Arc<Route>,
     pub(crate) admission: Admission,
-    /// When the request had been read completely.
+    /// When the whole request had been read.
     pub(crate) received: Time,
     /// Earlier of the caller's and the route's deadline.
     pub(crate) deadline: Time,
-    /// Number of endpoints that may have run the request. A count, because two endpoints may have the
-    /// request at once and each can only report for itself that it did not run it.
+    /// Number of endpoints that may have run the request. A count and not a flag: a hedged request is at two
+    /// endpoints, and one of them may report that it did not run it.
     runs: AtomicU32,
 }
 
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,4 +1,4 @@
-//! Handle on the control thread, which owns the routing state.
+//! Handle to the control thread, which owns the routing state.
 //!
 //! The thread itself is in [`worker`]. Placements are returned as [`Permit`]s.
 
@@ -33,7 +33,7 @@
 use crate::edge::Update;
 
 /// How long requests wait for the first read of the store after startup. Short enough that a caller can
-/// still retry at another gateway when the store is unreachable.
+/// still retry at another replica if the store is unreachable.
 const INITIAL_READ_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Prompt length for which forecasts are logged and exported, tokens.
@@ -57,8 +57,8 @@
     RecordEvents(Lease, Arc<str>, u64),
     RecordResponse(Lease),
     Release(Lease, Outcome),
-    RecordFailure(Arc<str>, u64),
-    DropOrder(Arc<str>),
+    RecordInterrupted(Arc<str>, u64),
+    CancelOrder(Arc<str>),
     Update(Update),
     Digest(Box<Digest>, SocketAddr),
     Snapshot(ReplySender<Option<Snapshot>>),
@@ -74,7 +74,7 @@
     pub endpoint: Arc<Endpoint>,
     /// Prompt tokens queued at a prefill endpoint, including this prompt; zero for other placements.
     pub prefill_tokens: u64,
-    /// Prefill timeout, after which another endpoint is asked; zero for other placements.
+    /// Prefill timeout, after which another endpoint is tried; zero for other placements.
     pub prefill_timeout: Duration,
     lease: Lease,
     outcome: Outcome,
@@ -137,7 +137,7 @@
     active.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Handle on the control thread.
+/// Handle to the control thread.
 #[derive(Clone)]
 pub struct Control {
     commands: Sender<Command>,
@@ -148,11 +148,10 @@
 }
 
 impl Control {
-    /// Waits until configuration and endpoints have been read, but at most `INITIAL_READ_TIMEOUT` after
+    /// Waits until configuration and endpoints have been read, at most until `INITIAL_READ_TIMEOUT` after
     /// startup. Without the wait, requests that arrive during the first read would be refused.
     pub async fn wait_initialized(&self, clock: &Clock) {
         let left = INITIAL_READ_TIMEOUT.saturating_sub(clock.now().since(self.started));
-        // After the timeout, requests are refused because there is no configuration.
         let read = async {
             let _ = self.initialized.recv().await;
         };
@@ -190,7 +189,7 @@
         self.send(Command::Refund(admission));
     }
 
-    /// Takes one retry from the service's retry budget. Returns false if the budget is exhausted.
+    /// Takes one retry from the service's retry budget; returns false if the budget is exhausted.
     pub async fn acquire_retry(&self, service: &Arc<str>) -> bool {
         self.request(|reply| Command::AcquireRetry(service.clone(), reply)).await.unwrap_or(false)
     }
@@ -227,14 +226,14 @@
         self.request(Command::Forecasts).await.unwrap_or_default()
     }
 
-    /// Records that a request failed at an endpoint while it may have been running.
-    pub fn record_failure(&self, endpoint: &Arc<str>, fingerprint: u64) {
-        self.send(Command::RecordFailure(endpoint.clone(), fingerprint));
+    /// Records that a request was interrupted at an endpoint, which may have been running it.
+    pub fn record_interrupted(&self, endpoint: &Arc<str>, fingerprint: u64) {
+        self.send(Command::RecordInterrupted(endpoint.clone(), fingerprint));
     }
 
-    /// Discards an order that an endpoint will not execute.
-    pub fn drop_order(&self, endpoint: &Arc<str>) {
-        self.send(Command::DropOrder(endpoint.clone()));
+    /// Records that an order was not carried out.
+    pub fn cancel_order(&self, endpoint: &Arc<str>) {
+        self.send(Command::CancelOrder(endpoint.clone()));
     }
 
     /// Applies an update of the local copy of the store.
@@ -247,12 +246,12 @@
         self.send(Command::Digest(Box::new(digest), from));
     }
 
-    /// Returns a snapshot of what has been read from the store; `None` before the first configuration.
+    /// Returns a snapshot of the local copy of the store; `None` before the first configuration.
     pub async fn snapshot(&self) -> Option<Snapshot> {
         self.request(Command::Snapshot).await.flatten()
     }
 
-    /// Returns the peers that have read data which the store should have delivered here by now.
+    /// Returns the peers that have data which the store should have delivered here by now.
     pub async fn newer_peers(&self) -> Vec<Member> {
         self.request(Command::NewerPeers).await.unwrap_or_default()
     }
@@ -279,5 +278,5 @@
 }
 
 fn shutting_down() -> Refusal {
-    Refusal::not_run(Code::ShuttingDown, "the process is stopping")
+    Refusal::not_run(Code::ShuttingDown, "the gateway is shutting down")
 }
--- a/crates/gateway/src/control/worker.rs
+++ b/crates/gateway/src/control/worker.rs
@@ -33,8 +33,8 @@
 };
 use crate::edge::Update;
 
-/// Interval of digests and of expiring state. Peers see this gateway's load with this delay; a shorter
-/// interval costs more traffic between availability zones.
+/// Interval of digests and of expiring state. Peers learn of this replica's load with this delay; a shorter
+/// interval causes more traffic between availability zones.
 const TICK: Duration = Duration::from_millis(100);
 /// Minimum interval of digests while an urgent change is pending.
 const URGENT_DIGEST_INTERVAL: Duration = Duration::from_millis(25);
@@ -55,7 +55,7 @@
     pub orders: Sender<Order>,
 }
 
-/// Starts the thread and returns a handle on it. The thread sends digests and orders to `outputs`.
+/// Starts the thread and returns a handle to it. The thread sends digests and orders to `outputs`.
 pub fn start(identity: Identity, retries: Rule, clock: Clock, outputs: Outputs) -> io::Result<Control> {
     let (commands, received) = async_channel::unbounded();
     let (initializing, initialized) = async_channel::bounded(1);
@@ -104,7 +104,7 @@
     state: State<ReplySender<PermitsResult>>,
     clock: Clock,
     weak_control: WeakControl,
-    /// Active configuration as the store holds it.
+    /// Active configuration, encoded as in the store.
     source: Option<Arc<[u8]>>,
     /// Dropped once configuration and endpoints have been read.
     initializing: Option<Sender<()>>,
@@ -135,12 +135,12 @@
         if since >= TICK || (since >= URGENT_DIGEST_INTERVAL && self.state.is_digest_urgent()) {
             self.last_digest = now;
             lock(&self.weak_control.active).is_stale = self.state.is_configuration_stale(now);
-            let (changes, gone) = self.state.tick(now);
+            let (changes, expired) = self.state.tick(now);
             log_changes(&changes);
-            for peer in gone {
+            for peer in expired {
                 spdlog::info!("peer expired", kv: { peer = &*peer });
             }
-            // The channel is full only if the sender lags; the next digest supersedes this one.
+            // If the channel is full, the digest is dropped; the next one supersedes it.
             let _ = self.outputs.digests.try_send(self.state.next_digest(now));
             if let Some(order) = self.state.next_order(now)
                 && let Err(error) = self.outputs.orders.try_send(order)
@@ -153,17 +153,17 @@
             log_forecasts(&self.state.forecasts());
         }
         self.state.retain_queued(|reply| !reply.is_closed());
-        for (waiting, verdict) in self.state.dispatch(now) {
+        for (entry, verdict) in self.state.dispatch(now) {
             let result = match verdict {
                 Verdict::Placed(pair) => self.permits(pair).ok_or_else(shutting_down),
-                Verdict::Expired => Err(self.overloaded(now, &waiting.service)),
+                Verdict::Expired => Err(self.overloaded(now, &entry.service)),
             };
-            // If the receiver is gone, the permits are dropped here and thereby released.
-            let _ = waiting.tag.try_send(result);
+            // If the request has been cancelled, the permits are dropped here and thereby released.
+            let _ = entry.tag.try_send(result);
         }
     }
 
-    /// Returns `None` once all handles have been dropped; no request is left to receive the permit then.
+    /// Returns `None` once all handles have been dropped; then no request waits for the permit.
     fn permit(&self, assignment: Assignment) -> Option<Permit> {
         let Assignment { endpoint, lease, prefill_tokens, prefill_timeout } = assignment;
         let control = self.weak_control.upgrade()?;
@@ -211,10 +211,10 @@
             }
             Command::RecordResponse(lease) => self.state.record_answer(now, &lease),
             Command::Release(lease, outcome) => self.state.record_end(now, &lease, outcome),
-            Command::RecordFailure(endpoint, fingerprint) => {
+            Command::RecordInterrupted(endpoint, fingerprint) => {
                 self.state.record_interrupted(now, &endpoint, fingerprint)
             }
-            Command::DropOrder(endpoint) => self.state.cancel_order(&endpoint),
+            Command::CancelOrder(endpoint) => self.state.cancel_order(&endpoint),
             Command::Update(update) => self.update(now, update),
             Command::Digest(digest, from) => self.state.apply_digest(now, &digest, from),
             Command::Snapshot(reply) => drop(reply.try_send(self.snapshot())),
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -18,7 +18,7 @@
 /// Metadata that a caller sends with its request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metadata {
-    /// Request id, unique to this attempt of the caller.
+    /// Request id; a caller's retry has a new one.
     pub id: Option<Arc<str>>,
     /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
@@ -112,7 +112,7 @@
 
 /// Encoding of requests and responses towards callers and endpoints.
 pub trait Dialect: Send + Sync + 'static {
-    /// Decodes a configuration from the form in which the store holds it.
+    /// Decodes a configuration that is encoded as in the store.
     fn decode_catalog(&self, source: &[u8]) -> Result<Catalog, String>;
 
     /// Decodes the metadata of a caller's request.
@@ -169,9 +169,9 @@
 pub struct StageChange<'a> {
     /// New stage.
     pub stage: Stage,
-    /// Name of the gateway that sends the order.
+    /// Name of the replica that sends the order.
     pub holder: &'a str,
-    /// Fencing token; grows with every order of any gateway.
+    /// Fencing token; grows with every order of any replica.
     pub fencing_token: u64,
     /// Revision that the endpoint must still report, so that a delayed order is refused.
     pub expected_revision: u64,
@@ -180,13 +180,13 @@
 /// Boxed future, for methods of trait objects.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// Access to the claim row in the store, which lets one gateway at a time send orders.
+/// Access to the lease on sending orders. The lease is a row of the store, held by one replica at a time.
 pub trait Claims: Send + 'static {
-    /// Reads the claim.
+    /// Reads the lease.
     fn read(&mut self) -> BoxFuture<'_, Result<Snapshot, String>>;
 
-    /// Writes the claim if the row still has `version` (0 if there is no row). Returns the new version,
-    /// or `None` if another gateway wrote the row first.
+    /// Writes the row if it still has `version` (0 if there is no row). `asked_ms` is the store's clock before
+    /// the write. Returns the new version, or `None` if another replica wrote the row first.
     fn write<'a>(
         &'a mut self,
         holder: &'a str,
@@ -204,19 +204,19 @@
         order: u64,
         /// Decoded configuration.
         catalog: Arc<Catalog>,
-        /// Configuration as the store holds it, for peers that cannot reach the store.
+        /// Configuration encoded as in the store, for peers that cannot reach the store.
         source: Arc<[u8]>,
     },
     /// Endpoints were read from the store.
     Listing(Listing),
-    /// Endpoints were fetched from a peer. This does not show that the store is reachable.
+    /// Endpoints were fetched from a peer; unlike `Listing`, not a sign that the store is reachable.
     PeerListing {
-        /// Endpoints that the peer knows.
+        /// The peer's endpoint list.
         listing: Listing,
         /// Version of the newest row that the peer has read.
         newest: u64,
     },
-    /// Another gateway and its gossip address were read.
+    /// The name and gossip address of a peer were read.
     Member(Member),
     /// The store became unreachable.
     StoreLost {
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -26,13 +26,12 @@
 
 /// Timeout for opening a connection; longer than the first TCP retransmission, which follows after 1 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// A connection whose sent bytes stay unacknowledged for this long counts as dead.
+/// How long sent data may stay unacknowledged before the operating system closes a connection.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Maximum size of a response head, bytes.
-const MAX_HEAD: usize = 64 << 10;
-/// Maximum size of a body that is read whole, bytes.
-const MAX_BODY: usize = 16 << 20;
-/// Maximum responses to other requests that are skipped on one connection.
+const MAX_HEAD_BYTES: usize = 64 << 10;
+/// Limit on a body that is read whole.
+const MAX_BODY_BYTES: usize = 16 << 20;
+/// Maximum responses skipped on one connection because they belong to other requests or are informational.
 const MAX_SKIPPED_RESPONSES: u32 = 2;
 
 /// Why an exchange failed.
@@ -66,8 +65,8 @@
     pub(crate) reply: Reply,
     connection: Connection,
     decoder: Decoder,
-    /// Whether the whole request was written. If not, the connection cannot be reused: the endpoint would
-    /// take the next request for the rest of this one.
+    /// Whether the whole request was written. Otherwise the connection cannot be reused: the endpoint would
+    /// read the next request as the rest of this one.
     is_sent: bool,
     endpoint: &'a Endpoint,
     pool: &'a Pool,
@@ -86,8 +85,11 @@
 
     /// Reads the whole body and returns the connection to the pool.
     pub(crate) async fn read_whole(mut self) -> Result<(Response, Reply, Bytes), Failure> {
-        let body =
-            self.connection.read_body(&mut self.decoder, MAX_BODY).await.map_err(Failure::Connection)?;
+        let body = self
+            .connection
+            .read_body(&mut self.decoder, MAX_BODY_BYTES)
+            .await
+            .map_err(Failure::Connection)?;
         let (head, reply) = (self.head.clone(), self.reply.clone());
         self.recycle();
         Ok((head, reply, body))
@@ -148,14 +150,14 @@
             let framing = response.framing(&head.method);
             let mut decoder = Decoder::new(framing.map_err(invalid)?);
             let reply = self.dialect.decode_reply(&response);
-            // An informational response, or a late response to an earlier request.
+            // Informational, or a late response to an earlier request on this connection.
             let is_unrelated = response.status < 200 || id.is_some() && reply.id.as_deref() != id;
             if is_unrelated && (response.status < 200 || reply.id.is_some()) {
-                connection.read_body(&mut decoder, MAX_BODY).await.map_err(Failure::Connection)?;
+                connection.read_body(&mut decoder, MAX_BODY_BYTES).await.map_err(Failure::Connection)?;
                 continue;
             }
             if is_unrelated && response.status < 400 {
-                return Err(Failure::InvalidResponse("the request id is missing"));
+                return Err(Failure::InvalidResponse("missing request id"));
             }
             let is_sent = writing.is_done;
             return Ok(Exchange {
@@ -172,7 +174,7 @@
     }
 }
 
-/// Encodes head and body; the body is sent with a length, even if it arrived in chunks.
+/// Encodes head and body. The body is sent with `Content-Length`, even if it was received in chunks.
 fn encode(head: &Request, body: &[u8]) -> Vec<u8> {
     let mut head = head.clone();
     if !body.is_empty() || head.fields.count("content-length") > 0 {
@@ -201,7 +203,7 @@
     if is_replaced(head, reply, endpoint) { Outcome::Replaced } else { otherwise }
 }
 
-/// Returns whether a status guarantees callers that the request has not run.
+/// Returns whether callers take this status as a guarantee that the request has not run.
 pub(crate) fn is_not_run_status(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
@@ -210,8 +212,8 @@
     Failure::InvalidResponse(why.0)
 }
 
-/// Write that continues while the response is read. An endpoint may respond before it has read a long
-/// body.
+/// A write that continues while the response is read, because an endpoint may respond before it has read a
+/// long body.
 struct PendingWrite<'a> {
     future: Pin<Box<dyn Future<Output = io::Result<()>> + Send + 'a>>,
     /// Whether all bytes were written.
@@ -226,8 +228,8 @@
         Self { future, is_done: false, is_over: false }
     }
 
-    /// Continues the write. An error is not reported: the response may have arrived before it, and if
-    /// not, reading fails too.
+    /// Continues the write. A write error is not reported: the response may still be readable, and otherwise
+    /// the read fails too.
     fn poll(&mut self, cx: &mut Poller<'_>) {
         if self.is_over {
             return;
@@ -243,7 +245,7 @@
     connection: &mut Connection,
     writing: &mut PendingWrite<'_>,
 ) -> Result<Response, Error> {
-    let mut reading = pin!(connection.read_response(MAX_HEAD));
+    let mut reading = pin!(connection.read_response(MAX_HEAD_BYTES));
     poll_fn(|cx| {
         writing.poll(cx);
         reading.as_mut().poll(cx)
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -32,14 +32,14 @@
     stream, unary,
 };
 
-/// A caller's connection whose sent bytes stay unacknowledged for this long counts as dead.
+/// How long sent data may stay unacknowledged before the operating system closes a caller's connection.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Timeout for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Maximum bytes that are buffered while a caller waits for a response.
-const MAX_READ_AHEAD: usize = 64 << 10;
-/// How long bytes are still read after the last response. Closing a connection with unread bytes resets it,
-/// and the caller may lose the response.
+/// Maximum unread bytes buffered while a request is served.
+const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
+/// How long incoming bytes are discarded after the last response. Closing a connection with unread bytes
+/// resets it, and the caller may lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Delay after a failed accept, for example when file descriptors have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -128,8 +128,8 @@
 async fn read_head(connection: &mut Connection, limits: Limits) -> Result<Request, Rejection> {
     let read = timeout(limits.head_timeout, connection.read_request(limits.max_head_bytes)).await;
     let head = read.map_err(|_| Some(408))?.map_err(rejection(431))?;
-    let hosts = head.fields.count("host");
-    if hosts != 1 || !head.target.starts_with('/') {
+    let host_count = head.fields.count("host");
+    if host_count != 1 || !head.target.starts_with('/') {
         return Err(Some(400));
     }
     Ok(head)
@@ -171,17 +171,18 @@
 async fn linger(connection: &mut Connection) {
     let _ = connection.stream().shutdown(std::net::Shutdown::Write);
     let drain = async {
-        while connection.buffered() < MAX_READ_AHEAD
+        while connection.buffered() < MAX_READ_AHEAD_BYTES
             && matches!(connection.fill().await, Ok(read) if read > 0)
         {}
     };
     let _ = timeout(LINGER_TIMEOUT, drain).await;
 }
 
-/// Completes once the caller has closed its connection.
+/// Completes once the caller has closed its connection. Pipelined requests are buffered up to a limit, beyond
+/// which a disconnection is no longer detected.
 async fn wait_for_close(connection: &mut Connection) {
     loop {
-        if connection.buffered() > MAX_READ_AHEAD {
+        if connection.buffered() > MAX_READ_AHEAD_BYTES {
             return std::future::pending().await;
         }
         match connection.fill().await {
@@ -216,7 +217,7 @@
     let served = served.map(|served| served.map_err(|refusal| correct_not_run(&inbound, refusal)));
     let refusal = match served {
         Ok(Ok(())) => None,
-        // The wait for an endpoint ends at the same deadline, and either timeout may fire first.
+        // Sending to an endpoint has the same deadline, and either timeout may fire first.
         Ok(Err(refusal)) if !refusal.not_run && context.clock.now() >= inbound.deadline => {
             Some(deadline_exceeded(&inbound))
         }
@@ -249,8 +250,8 @@
     }
 }
 
-/// Clears the not-run flag of a refusal if an endpoint may have run the request. A refused attempt knows
-/// nothing of earlier or concurrent attempts, whose responses may have been lost.
+/// Corrects a not-run refusal if any endpoint may have run the request. The refusal describes only the last
+/// attempt; an earlier or concurrent one may have run although its response was lost.
 fn correct_not_run(inbound: &Inbound, refusal: Refusal) -> Refusal {
     if refusal.not_run && inbound.may_have_run() {
         return Refusal::may_have_run(Code::OutcomeUnknown, refusal.message);
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -1,6 +1,6 @@
-//! Exchange of digests with the other gateways over UDP.
+//! Exchange of digests with peers over UDP.
 //!
-//! A digest holds running totals, so a lost datagram needs no retransmission.
+//! A digest contains running totals, so a lost datagram needs no retransmission.
 
 use std::{io, net::SocketAddr, sync::Arc};
 
@@ -12,8 +12,8 @@
 
 use crate::control::{Control, worker::Outgoing};
 
-/// Maximum UDP payload over IPv4, bytes.
-const MAX_DATAGRAM: usize = 65_507;
+/// Maximum UDP payload over IPv4.
+const MAX_DATAGRAM_BYTES: usize = 65_507;
 
 /// Opens the socket for digests.
 pub(crate) async fn bind(address: SocketAddr) -> io::Result<Arc<UdpSocket>> {
@@ -25,10 +25,10 @@
     let mut was_too_large = false;
     while let Ok((digest, members)) = outgoing.recv().await {
         let bytes = proto::Digest::from(&digest).encode_to_vec();
-        let is_too_large = bytes.len() > MAX_DATAGRAM;
+        let is_too_large = bytes.len() > MAX_DATAGRAM_BYTES;
         if is_too_large && !was_too_large {
-            // The peers receive nothing from this gateway, although it uses the shared rates and endpoints.
-            spdlog::error!("digest exceeds the maximum datagram size", kv: { bytes = bytes.len(), most = MAX_DATAGRAM });
+            // Peers no longer learn of this replica's share of customers' rates and endpoints' load.
+            spdlog::error!("digest exceeds the maximum datagram size", kv: { bytes = bytes.len(), most = MAX_DATAGRAM_BYTES });
         }
         was_too_large = is_too_large;
         for member in members {
@@ -41,12 +41,12 @@
 
 /// Passes received digests to the control thread.
 pub(crate) async fn receive(socket: Arc<UdpSocket>, control: Control) {
-    let mut bytes = vec![0; MAX_DATAGRAM];
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut bytes).await {
             Ok(received) => received,
             Err(error) => {
-                // Also reports an earlier datagram to a closed port; later datagrams may still arrive.
+                // The error may concern a datagram sent earlier, to a closed port; later ones can still arrive.
                 spdlog::debug!("receiving a digest failed", kv: { reason = error.to_string().as_str() });
                 continue;
             }
--- a/crates/gateway/src/identify.rs
+++ b/crates/gateway/src/identify.rs
@@ -17,8 +17,8 @@
 
 use crate::{context::Inbound, edge::Metadata};
 
-/// Retry delay for callers while this gateway has no configuration. Without one after startup, the store is
-/// unreachable, and an early retry would be refused as well.
+/// Retry delay for callers while this replica has no configuration. The store is then probably unreachable,
+/// and an earlier retry would be refused as well.
 const RETRY_WITHOUT_CATALOG: Duration = Duration::from_secs(2);
 /// Retry delay for unknown routes and keys while a peer has a newer configuration.
 const RETRY_WHILE_STALE: Duration = Duration::from_millis(500);
@@ -32,14 +32,14 @@
     metadata: Metadata,
     received: Time,
 ) -> Result<Inbound, Refusal> {
-    let found = match catalog {
-        Some(catalog) => look_up(catalog, &head, &metadata).map_err(|unknown| refusal(unknown, is_stale)),
+    let resolved = match catalog {
+        Some(catalog) => look_up(catalog, &head, &metadata).map_err(|error| refusal(error, is_stale)),
         None => {
-            let refusal = Refusal::not_run(Code::SettingsUnconfirmed, "no configuration is known yet");
+            let refusal = Refusal::not_run(Code::SettingsUnconfirmed, "no configuration has been read yet");
             Err(refusal.with_retry_after(RETRY_WITHOUT_CATALOG))
         }
     };
-    let (route, customer) = found?;
+    let (route, customer) = resolved?;
     let admission = Admission {
         tokens: customer.as_ref().map_or(0, |customer| token_cost(customer, &metadata)),
         service: route.pick_service(rand::rng().random()).clone(),
@@ -55,9 +55,9 @@
     tokens.map_or(customer.plain_tokens, |tokens| tokens.prompt + tokens.output)
 }
 
-type Found = (Arc<Route>, Option<Arc<Customer>>);
+type Resolved = (Arc<Route>, Option<Arc<Customer>>);
 
-fn look_up(catalog: &Catalog, head: &Request, metadata: &Metadata) -> Result<Found, LookupError> {
+fn look_up(catalog: &Catalog, head: &Request, metadata: &Metadata) -> Result<Resolved, LookupError> {
     let host = head.fields.get("host").unwrap_or_default();
     let route = catalog.route(host, head.path())?;
     let customer = catalog.authenticate(route, metadata.key.as_deref())?;
@@ -66,13 +66,13 @@
 
 fn refusal(error: LookupError, is_stale: bool) -> Refusal {
     match error {
-        // The route or key may have just been added, so the refusal must allow a retry.
+        // The newer configuration may have added the route or key, so the refusal allows a retry.
         _ if is_stale => {
-            let message = "a newer configuration may know the route and the key";
+            let message = "route or key not found; a newer configuration exists and may define it";
             Refusal::not_run(Code::SettingsUnconfirmed, message).with_retry_after(RETRY_WHILE_STALE)
         }
         LookupError::Route => Refusal::not_run(Code::NotFound, "no route matches the request"),
-        LookupError::Key => Refusal::not_run(Code::BadKey, "the key is unknown"),
+        LookupError::Key => Refusal::not_run(Code::BadKey, "unknown API key"),
     }
 }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -8,7 +8,7 @@
 /// Upper bounds of the latency buckets, seconds.
 const LATENCY_BUCKETS: [f64; 12] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 0.9, 1.5, 3.0, 6.0, 14.0];
 
-/// Metrics of one gateway.
+/// Metrics of the gateway.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     /// Responses to callers, by kind of route and status.
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -49,7 +49,7 @@
         // An order that may have been accepted stays pending until the endpoint list shows the change or the
         // order expires.
         if matches!(delivery, Delivery::Dropped(_)) {
-            context.control.drop_order(&order.endpoint.id);
+            context.control.cancel_order(&order.endpoint.id);
         }
     }
 }
@@ -63,13 +63,13 @@
         return Delivery::Dropped("the endpoint has changed its stage or is changing it".into());
     }
     let began = Instant::now();
-    let fencing_token = match claim(holder, claims).await {
+    let fencing_token = match acquire_lease(holder, claims).await {
         Ok(fencing_token) => fencing_token,
         Err(reason) => return Delivery::Dropped(reason),
     };
-    // If this process was suspended after writing the claim, another gateway may hold it by now.
+    // If this process was suspended after the write, another replica may hold the lease by now.
     if began.elapsed() >= LEASE_DURATION {
-        return Delivery::Dropped("the claim has expired".into());
+        return Delivery::Dropped("the lease has expired".into());
     }
     let change =
         StageChange { stage: order.stage, holder, fencing_token, expected_revision: report.revision };
@@ -81,12 +81,12 @@
     }
 }
 
-/// Writes the claim and returns the fencing token.
-async fn claim(holder: &str, claims: &mut dyn Claims) -> Result<u64, String> {
+/// Acquires or renews the lease and returns the fencing token.
+async fn acquire_lease(holder: &str, claims: &mut dyn Claims) -> Result<u64, String> {
     let snapshot = claims.read().await?;
-    let version = claimable_version(&snapshot, holder).ok_or("another gateway holds the claim")?;
+    let version = claimable_version(&snapshot, holder).ok_or("another replica holds the lease")?;
     let written = claims.write(holder, snapshot.now_ms, version).await?;
-    written.ok_or_else(|| "another gateway wrote the claim first".into())
+    written.ok_or_else(|| "another replica acquired the lease first".into())
 }
 
 async fn report(context: &Context, order: &Order) -> Result<Report, String> {
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -11,7 +11,7 @@
 
 /// Maximum idle connections per endpoint.
 const MAX_IDLE: usize = 16;
-/// Keep-alive time of endpoints that announce none.
+/// Keep-alive time of endpoints that do not send a `Keep-Alive` timeout.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 /// A connection is dropped this long before the endpoint would close it. A request sent while the endpoint
 /// closes the connection is lost, and not every request may be retried.
@@ -20,6 +20,7 @@
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
+    /// When the connection is no longer used.
     until: Time,
 }
 
@@ -43,7 +44,7 @@
                 let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
                 all.get_mut(&endpoint.id)?.pop()?
             };
-            // Bytes that arrived while the connection was idle would be taken for the next response.
+            // Unread bytes would be read as part of the next response.
             if idle.until > self.clock.now() && idle.connection.is_idle().await {
                 return Some(idle.connection);
             }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! Startup, shutdown and status of a gateway.
+//! Startup, shutdown and status of the gateway.
 
 use std::{
     fmt, io,
@@ -37,7 +37,7 @@
 
 /// Interval at which a shutdown checks for requests in flight.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
-/// Capacity of the digest channel. Small, because each digest supersedes the one before.
+/// Capacity of the digest channel. Small, because each digest supersedes the previous one.
 const DIGEST_CAPACITY: usize = 2;
 /// Capacity of the order channel.
 const ORDER_CAPACITY: usize = 4;
@@ -46,14 +46,14 @@
 pub struct Store {
     /// Updates read from the store.
     pub updates: Receiver<Update>,
-    /// Claim that allows a gateway to send orders.
+    /// Lease on sending orders, which only one replica at a time may hold.
     pub claims: Box<dyn Claims>,
 }
 
-/// Settings of a gateway.
+/// Settings of the gateway.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name, unique in the fleet.
+    /// Replica name, unique among the peers.
     pub name: Arc<str>,
     /// Availability zone.
     pub zone: Arc<str>,
@@ -65,18 +65,18 @@
     pub incarnation: u64,
     /// Retry budget.
     pub retries: Rule,
-    /// How long new connections are accepted after the gateway has reported that it is not ready.
+    /// How long new connections are still accepted after shutdown has begun and the gateway reports not ready.
     pub drain_delay: Duration,
     /// Maximum duration of a shutdown, including `drain_delay`.
     pub grace: Duration,
 }
 
-/// Why a gateway did not start.
+/// Error while starting the gateway.
 #[derive(Debug)]
 pub enum StartError {
-    /// Listening on an address failed.
+    /// The gateway cannot listen on the address.
     Listen(SocketAddr, io::Error),
-    /// Starting a thread failed.
+    /// The control thread cannot be started.
     Thread(io::Error),
 }
 
@@ -91,7 +91,7 @@
 
 impl std::error::Error for StartError {}
 
-/// Running gateway.
+/// A running gateway.
 pub struct Gateway {
     address: SocketAddr,
     peer: SocketAddr,
@@ -103,7 +103,7 @@
 }
 
 impl Gateway {
-    /// Starts a gateway and registers its metrics.
+    /// Starts the gateway and registers its metrics.
     pub async fn start(
         settings: Settings,
         clock: Clock,
@@ -114,10 +114,10 @@
         let listener = TcpListener::bind(settings.listen).await;
         let listener = listener.map_err(|error| StartError::Listen(settings.listen, error))?;
         let address = listener.local_addr().map_err(|error| StartError::Listen(settings.listen, error))?;
-        let failed = |error| StartError::Listen(settings.peer, error);
-        let socket = gossip::bind(settings.peer).await.map_err(failed)?;
-        let peer = socket.local_addr().map_err(failed)?;
-        let (incoming, _) = tarragonhill_wire::listen(peer).map_err(failed)?;
+        let listen_error = |error| StartError::Listen(settings.peer, error);
+        let socket = gossip::bind(settings.peer).await.map_err(listen_error)?;
+        let peer = socket.local_addr().map_err(listen_error)?;
+        let (incoming, _) = tarragonhill_wire::listen(peer).map_err(listen_error)?;
         let identity = Identity {
             name: settings.name.clone(),
             zone: settings.zone.clone(),
@@ -186,7 +186,7 @@
         };
         // Cannot be set already, because this method consumes the gateway.
         let _ = context.shutdown.set(shutdown);
-        // Until the load balancer notices, it sends callers here; they must still be served.
+        // The load balancer sends callers here until it has noticed that the gateway is not ready.
         clock.sleep(settings.drain_delay.min(settings.grace)).await;
         drop(closing);
         while clock.now().since(began) < settings.grace {
@@ -217,7 +217,7 @@
     }
 }
 
-/// Status of a gateway for its admin address.
+/// Status of the gateway for its admin address.
 #[derive(Clone)]
 pub struct Status(Arc<Context>);
 
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -23,7 +23,7 @@
 use self::{
     placement::{Placement, place},
     prefill::run_prefill,
-    relay::{SILENCE_SLACK, relay},
+    relay::{STALL_TIMEOUT_SLACK, relay},
     resource::Guard,
 };
 use crate::{
@@ -36,7 +36,7 @@
 
 /// Maximum times that a request is sent, including retries.
 const MAX_SENDS: u32 = 4;
-/// Retry delay for callers that another gateway can serve at once.
+/// Retry delay for callers that another replica can serve at once.
 const RETRY_ELSEWHERE: Duration = Duration::from_millis(50);
 
 /// Progress of a request over its attempts.
@@ -49,7 +49,7 @@
     runs: u32,
 }
 
-/// Response of an endpoint whose head has been read.
+/// An endpoint's response whose head has been read.
 struct Upstream<'a> {
     exchange: Exchange<'a>,
     permit: Permit,
@@ -58,14 +58,14 @@
     start: Start,
 }
 
-/// How an attempt starts, which determines what the time to its first event measures.
+/// How an attempt starts, which determines the kind of observation that its first event gives.
 #[derive(Clone, Copy)]
 enum Start {
     /// From a prefill result.
     FromPrefill,
     /// With a prefill at the decode endpoint.
     WithPrefill,
-    /// By resuming a stream or as a whole request; these times are not comparable.
+    /// By resuming a stream or as a whole request; gives no observation.
     Other,
 }
 
@@ -129,7 +129,7 @@
                 }
             },
             Err(Abort::ErrorResponse(head, body)) if writer.is_unsent() => {
-                // Fails only if the caller's connection does; no caller is left to respond to then.
+                // Fails only if the caller has disconnected.
                 let _ = writer.write_whole(head, &body).await;
                 return Ok(());
             }
@@ -145,7 +145,7 @@
                 Some(reason)
             }
         };
-        // The stream cannot be resumed; the connection closes without the end of the body.
+        // The stream was cut: the caller's connection closes without the end of the body.
         let Some(reason) = reason else { return Ok(()) };
         if sends >= MAX_SENDS || !context.control.acquire_retry(inbound.service()).await {
             return give_up(inbound, writer, reason);
@@ -158,8 +158,8 @@
     Ok(())
 }
 
-/// Refuses a stream that is not expected to end before the process does. The caller can retry at once, at
-/// another gateway.
+/// Refuses a stream that is not expected to end before shutdown does. The caller can retry at once at another
+/// replica.
 async fn check_shutdown(context: &Context, inbound: &Inbound) -> Result<(), Refusal> {
     let Some(shutdown) = context.shutdown.get() else { return Ok(()) };
     let forecast = context.control.forecast(inbound.service()).await;
@@ -168,7 +168,7 @@
     {
         return Ok(());
     }
-    Err(Refusal::not_run(Code::ShuttingDown, "the process stops before the stream would end")
+    Err(Refusal::not_run(Code::ShuttingDown, "the stream would not end before the gateway shuts down")
         .with_retry_after(RETRY_ELSEWHERE))
 }
 
@@ -184,7 +184,7 @@
 ) -> Result<Option<String>, Refusal> {
     progress.runs += 1;
     progress.avoid.push(endpoint.id.clone());
-    context.control.record_failure(&endpoint.id, inbound.admission.fingerprint);
+    context.control.record_interrupted(&endpoint.id, inbound.admission.fingerprint);
     if inbound.may_retry(progress.runs) {
         return Ok(Some(reason));
     }
@@ -199,7 +199,7 @@
     cut(inbound, writer, reason).map(|_| ())
 }
 
-/// Returns a refusal if the caller has not received a response; otherwise logs that the stream is cut.
+/// Returns a refusal if no response has been sent to the caller; otherwise logs that the stream is cut.
 fn cut(inbound: &Inbound, writer: &ResponseWriter, reason: String) -> Result<Option<String>, Refusal> {
     if writer.is_unsent() {
         return Err(Refusal::may_have_run(Code::Broken, reason));
@@ -256,7 +256,7 @@
 ) -> Result<Upstream<'a>, Abort> {
     inbound.mark_sent();
     let (began, start) = (context.clock.now(), Start::of(&task));
-    let sent = inbound.send(context, endpoint, task, inbound.route.stall_timeout + SILENCE_SLACK).await;
+    let sent = inbound.send(context, endpoint, task, inbound.route.stall_timeout + STALL_TIMEOUT_SLACK).await;
     let exchange = match sent {
         Ok(exchange) => exchange,
         Err(Failure::Connect(error)) => {
--- a/crates/gateway/src/stream/placement.rs
+++ b/crates/gateway/src/stream/placement.rs
@@ -129,6 +129,6 @@
 enum ReserveError {
     /// A different endpoint now listens at the address.
     Replaced,
-    /// The endpoint did not respond, or its response was invalid.
+    /// The endpoint did not respond, or not as expected.
     Unreachable(String),
 }
--- a/crates/gateway/src/stream/prefill.rs
+++ b/crates/gateway/src/stream/prefill.rs
@@ -17,10 +17,10 @@
     exchange::{Failure, MISDIRECTED, not_run_outcome},
 };
 
-/// Maximum endpoints that are asked to prefill one prompt.
+/// Maximum endpoints that are tried for one prompt.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// Prefills the prompt. If an endpoint fails, another one is asked.
+/// Prefills the prompt. If an endpoint fails, another one is tried.
 pub(super) async fn run_prefill(
     context: &Arc<Context>,
     inbound: &Inbound,
@@ -41,7 +41,7 @@
             Err(failure) => (format!("{}: {failure}", endpoint.id), true),
         };
         spdlog::info!("prefill failed", kv: { request = inbound.id(), reason = reason.as_str() });
-        // A connection that could not be opened costs no retry.
+        // If nothing was sent, the retry is not charged to the retry budget.
         let may_retry = !was_sent || context.control.acquire_retry(inbound.service()).await;
         if attempts >= MAX_ATTEMPTS || !may_retry {
             return Err(Abort::NotRun(reason));
@@ -98,7 +98,7 @@
                 permit.observe(Observation::PrefillTimeout { tokens: permit.prefill_tokens, waited });
             }
             if !is_unsent {
-                context.control.record_failure(&endpoint.id, inbound.admission.fingerprint);
+                context.control.record_interrupted(&endpoint.id, inbound.admission.fingerprint);
             }
             permit.finish(if is_unsent { Outcome::Unreachable } else { Outcome::Failed });
             Err(failure)
--- a/crates/gateway/src/stream/relay.rs
+++ b/crates/gateway/src/stream/relay.rs
@@ -20,14 +20,14 @@
     exchange::{Exchange, Failure},
 };
 
-/// A resumable stream without an event for this many times the route's maximum gap counts as stalled and
-/// resumes at another endpoint. Callers wait longer than that.
+/// A resumable stream without an event for this many times the route's target gap counts as stalled and is
+/// resumed at another endpoint. Callers wait longer than that.
 const STALL_GAPS: u32 = 5;
-/// Stall timeout of resumable streams whose route has no maximum gap.
+/// Stall timeout of resumable streams whose route has no target gap.
 const DEFAULT_STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How much longer the gateway waits for an event than the caller does, if the stream is not resumable.
-pub(super) const SILENCE_SLACK: Duration = Duration::from_millis(500);
+/// How much longer than the caller the gateway waits for an event, if the stream is not resumable.
+pub(super) const STALL_TIMEOUT_SLACK: Duration = Duration::from_millis(500);
 
 /// Minimum interval at which a stream's event rate is recorded.
 const RECORD_INTERVAL: Duration = Duration::from_millis(250);
@@ -116,11 +116,11 @@
     }
 }
 
-/// Reads the next chunk of a response. A connection may fall silent without being closed, for example when a
-/// middlebox loses its state; without a timeout, its memory would stay reserved until the deadline.
+/// Reads the next chunk of a response, with a timeout. A connection may stall without being closed, for example
+/// when a middlebox loses its state; its memory would then stay reserved until the deadline.
 async fn next_chunk(inbound: &Inbound, exchange: &mut Exchange<'_>) -> Result<Option<Bytes>, Failure> {
     let limit = if !inbound.route.is_resumable {
-        inbound.route.stall_timeout + SILENCE_SLACK
+        inbound.route.stall_timeout + STALL_TIMEOUT_SLACK
     } else if inbound.route.target_gap.is_zero() {
         DEFAULT_STALL_TIMEOUT
     } else {
--- a/crates/gateway/src/stream/resource.rs
+++ b/crates/gateway/src/stream/resource.rs
@@ -6,7 +6,7 @@
 
 use crate::context::Context;
 
-/// Guard for a resource that an endpoint holds for a request. Dropping it releases the resource.
+/// Guard for a resource that an endpoint keeps for a request. Dropping it releases the resource.
 pub(super) struct Guard {
     pub(super) context: Arc<Context>,
     pub(super) endpoint: Arc<Endpoint>,
--- a/crates/gateway/src/sync.rs
+++ b/crates/gateway/src/sync.rs
@@ -1,8 +1,7 @@
-//! Replication of store snapshots between gateways.
+//! Exchange of store snapshots between replicas.
 //!
-//! A gateway that cannot reach the store has no configuration after a start, or serves by an outdated one.
-//! It fetches a snapshot from its peers instead; their digests say where they listen and how new their
-//! copies of the store are.
+//! A replica that cannot reach the store has no configuration after startup, or an outdated one. It then
+//! fetches a snapshot from a peer. Digests carry the peers' addresses and the versions of their copies.
 
 use std::{pin::Pin, sync::Arc, time::Duration};
 
@@ -22,16 +21,15 @@
 
 use crate::{context::Context, control::Control, edge::Update};
 
-/// Timeout for connecting, for the response to begin and for each chunk. The whole transfer has no deadline,
-/// because the size of the configuration is up to the operator.
+/// Timeout for connecting, for the response to begin and for each chunk. The whole transfer has no timeout,
+/// because its duration depends on the size of the configuration.
 const STEP_TIMEOUT: Duration = Duration::from_millis(800);
-/// Size of a chunk, bytes; small enough for a slow link to carry within the timeout.
-const CHUNK: usize = 32 << 10;
-/// Maximum size of a snapshot, bytes.
-const MAX_SNAPSHOT: usize = 32 << 20;
-/// Delay before all peers are asked again.
+/// Size of a chunk; small enough for a slow link to carry within [`STEP_TIMEOUT`].
+const CHUNK_BYTES: usize = 32 << 10;
+const MAX_SNAPSHOT_BYTES: usize = 32 << 20;
+/// Delay before peers are asked again during startup.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Interval at which an initialized gateway checks whether a peer has newer data.
+/// Interval at which an initialized replica checks whether a peer has newer data.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Number of snapshots fetched at startup. A single peer may itself have an outdated copy.
 const MAX_SNAPSHOTS: usize = 3;
@@ -63,13 +61,13 @@
         }
         let bytes = proto::Knowledge::from(&snapshot).encode_to_vec();
         let chunks: Vec<proto::Chunk> =
-            bytes.chunks(CHUNK).map(|data| proto::Chunk { data: data.to_vec() }).collect();
+            bytes.chunks(CHUNK_BYTES).map(|data| proto::Chunk { data: data.to_vec() }).collect();
         Ok(Response::new(Box::pin(stream::iter(chunks.into_iter().map(Ok)))))
     }
 }
 
-/// Fetches snapshots from peers until this gateway is initialized, unless the store responds soon after the
-/// start. From then on, fetches data that the store should have delivered but only a peer has.
+/// Fetches snapshots from peers until this replica is initialized, unless the store responds soon after
+/// startup. Afterwards, fetches a snapshot whenever a peer has data that the store should have delivered.
 pub(crate) async fn run(context: Arc<Context>) {
     context.control.wait_initialized(&context.clock).await;
     loop {
@@ -121,7 +119,7 @@
     let mut chunks = response.map_err(|status| status.to_string())?.into_inner();
     let mut bytes = Vec::new();
     while let Some(chunk) = with_timeout(chunks.message()).await?.map_err(|status| status.to_string())? {
-        if bytes.len() + chunk.data.len() > MAX_SNAPSHOT {
+        if bytes.len() + chunk.data.len() > MAX_SNAPSHOT_BYTES {
             return Err("snapshot too large".into());
         }
         bytes.extend_from_slice(&chunk.data);
--- a/crates/gateway/src/unary.rs
+++ b/crates/gateway/src/unary.rs
@@ -23,8 +23,8 @@
     exchange::{Failure, MISDIRECTED, is_not_run_status, not_run_outcome},
 };
 
-/// Fraction of the route's latency target after which an idempotent request is hedged. Late enough to hedge
-/// few requests, early enough for the second response to meet the target.
+/// Fraction of the route's latency target after which an idempotent request is hedged; leaves time for the
+/// second response to meet the target.
 const HEDGE_AFTER: f64 = 0.5;
 /// Maximum times that a request is sent, including retries but not hedges.
 const MAX_SENDS: u32 = 4;
@@ -186,7 +186,7 @@
         }
         Err(failure) => {
             let reason = format!("{}: {failure}", permit.endpoint.id);
-            context.control.record_failure(&permit.endpoint.id, inbound.admission.fingerprint);
+            context.control.record_interrupted(&permit.endpoint.id, inbound.admission.fingerprint);
             permit.finish(Outcome::Failed);
             return Attempt::MayHaveRun(reason);
         }
@@ -203,7 +203,7 @@
         permit.finish(Outcome::Failed);
         return Attempt::MayHaveRun(reason);
     }
-    // This status guarantees callers that the request has not run, but the endpoint does not state so.
+    // Callers take this status as a guarantee that the request has not run, but the endpoint did not state it.
     if is_not_run_status(head.status) && !inbound.route.is_repeatable() {
         let reason = format!("{} refused without stating that the request has not run", permit.endpoint.id);
         permit.finish(Outcome::Failed);
