--- a/crates/h1/tests/messages.rs
+++ b/crates/h1/tests/messages.rs
@@ -75,8 +75,8 @@
     );
 }
 
-/// The host of a crashed endpoint closes its connections with a FIN. Unless the truncation is
-/// detected, the caller gets part of an answer as a complete one.
+/// The host of a crashed endpoint closes its connections with a FIN. Undetected, the truncated
+/// response would be relayed as a complete one.
 #[test]
 fn truncated_body_is_detected() {
     assert_eq!(decode(Framing::Length(5), &[b"four"]), Ok(None));
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -222,7 +222,7 @@
         loop {
             let stream = self.idle.lock().unwrap_or_else(PoisonError::into_inner).get_mut(&address)?.pop()?;
             let mut byte = [0];
-            // A usable idle connection has nothing to read: data or an error means it is unusable.
+            // An idle connection must have nothing to read; data, its end or an error makes it unusable.
             if future::poll_once(stream.peek(&mut byte)).await.is_none() {
                 return Some(stream);
             }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -22,16 +22,15 @@
 
 use crate::stream::{Reader, Sender};
 
-/// How long a client may go on sending a rejected request before its connection is closed.
-const LINGER: Duration = Duration::from_millis(300);
-/// How long an idle connection stays open once shutdown has begun, for a request that is already
-/// on its way.
+/// How long a client may continue to send a rejected request before its connection is closed.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long an idle connection stays open once shutdown has begun, for a request in transit.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(300);
 /// Interval of polling for the end of a shutdown.
 const SHUTDOWN_POLL: Duration = Duration::from_millis(10);
 /// How long sent data may stay unacknowledged before the operating system closes the connection.
-const USER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Parts of a streamed body that are buffered for a slow reader.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Parts of a streamed body that are buffered for a slow client.
 const STREAM_BUFFER: usize = 64;
 
 /// Limits on connections and requests.
@@ -207,7 +206,7 @@
     /// closes idle connections. Returns when all connections are closed.
     pub async fn close(&self) {
         self.sender.close();
-        // The count of open connections is not enough: it leaves out the accept backlog.
+        // Waiting for the count of open connections is not enough: it excludes the accept backlog.
         let _ = self.finished.recv().await;
     }
 }
@@ -321,24 +320,24 @@
         async move { Ok(handle(request, stream, limits, handler).await) }
     };
     let mut server = async_h1::server::Server::new(stream.clone(), endpoint);
-    let mut answered = false;
+    let mut has_responded = false;
     loop {
         started.store(false, Ordering::Relaxed);
         let exchange = async { Event::Done(server.accept_one().await) };
         let shutdown = async {
             closing.begun().await;
-            // A new connection gets the full time for its first request: a client that has just
-            // connected is about to send one.
-            let grace = if answered { SHUTDOWN_GRACE } else { limits.head_timeout };
+            // A client that has just connected is about to send its first request, so it gets the full
+            // timeout.
+            let grace = if has_responded { SHUTDOWN_GRACE } else { limits.head_timeout };
             sleep_unless_started(grace, &started).await;
             Event::Shutdown
         };
-        let overdue = async {
+        let head_timeout = async {
             sleep_unless_started(limits.head_timeout, &started).await;
             Event::HeadTimeout
         };
-        match exchange.or(overdue).or(shutdown).await {
-            Event::Done(Ok(ConnectionStatus::KeepAlive)) if !closing.has_begun() => answered = true,
+        match exchange.or(head_timeout).or(shutdown).await {
+            Event::Done(Ok(ConnectionStatus::KeepAlive)) if !closing.has_begun() => has_responded = true,
             Event::Done(Ok(_)) | Event::Shutdown => return,
             Event::Done(Err(error)) if is_bad_head(&error) => {
                 return reject(stream, 400, "bad_request", "the request's head is malformed or too large")
@@ -378,7 +377,7 @@
 /// how long sent data may stay unacknowledged.
 pub(crate) fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT));
+    let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
 
 async fn handle<F, Fut>(mut request: Request, stream: TcpStream, limits: Limits, handler: &F) -> Response
@@ -391,7 +390,7 @@
         // async-h1 would read the rest of the body before it closes the connection.
         let stream = stream.clone();
         task::spawn(async move {
-            task::sleep(LINGER).await;
+            task::sleep(LINGER_TIMEOUT).await;
             let _ = stream.shutdown(std::net::Shutdown::Both);
         });
     }
@@ -434,5 +433,5 @@
     let _ = stream.shutdown(std::net::Shutdown::Write);
     // Closing a socket with unread data resets the connection, and the client may lose the response.
     let drain = futures_lite::io::copy(&mut stream, futures_lite::io::sink());
-    let _ = future::timeout(LINGER, drain).await;
+    let _ = future::timeout(LINGER_TIMEOUT, drain).await;
 }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -10,7 +10,7 @@
 
 use crate::proto::{self, event, order, peer_reply, peer_request};
 
-/// Error in a received message.
+/// Error in a received message. Its text is sent to peers as a gRPC status message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DecodeError {
     /// The named required field is missing.
--- a/crates/wire/tests/convert.rs
+++ b/crates/wire/tests/convert.rs
@@ -123,16 +123,16 @@
     let hold =
         proto::Order { body: Some(proto::order::Body::Hold(proto::Hold { work: None, ahead: false })) };
     assert_eq!(Order::try_from(hold), Err(DecodeError::Missing("work")));
-    let broken = proto::Broken { attempt: Some(attempt().into()), code: "melted".into() };
+    let broken = proto::Broken { attempt: Some(attempt().into()), code: "unknown".into() };
     let event = proto::Event { body: Some(proto::event::Body::Broken(broken)) };
-    assert_eq!(Event::try_from(event), Err(DecodeError::Invalid("breakage", "melted".into())));
+    assert_eq!(Event::try_from(event), Err(DecodeError::Invalid("breakage", "unknown".into())));
 }
 
 fn listed(id: &str) -> Row {
     let endpoint = Endpoint {
         id: name(id),
         started_ms: 1_700_000_000_123,
-        service: name("drafting"),
+        service: name("models"),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: name("zone-a"),
         stage: Stage::Prefill,
@@ -153,8 +153,8 @@
     let decoded = Snapshot::try_from(proto::Knowledge::from(&snapshot)).expect("a valid snapshot");
     assert_eq!(decoded, snapshot);
     let mut invalid = proto::Knowledge::from(&snapshot);
-    invalid.endpoints[1].stage = "resting".into();
-    assert_eq!(Snapshot::try_from(invalid), Err(DecodeError::Invalid("stage", "resting".into())));
+    invalid.endpoints[1].stage = "unknown".into();
+    assert_eq!(Snapshot::try_from(invalid), Err(DecodeError::Invalid("stage", "unknown".into())));
 }
 
 fn digest() -> Digest {
@@ -170,7 +170,7 @@
         output_length,
     };
     Digest {
-        name: name("entry-1"),
+        name: name("gateway-1"),
         incarnation: u64::MAX,
         serial: 20,
         spent: [(name("faculty"), 15_000)].into(),
@@ -179,7 +179,7 @@
         failure_permille: [(name("d-2"), 400)].into(),
         suspects: [(7, 2)].into(),
         versions: Versions { configuration: 11, endpoints: 9 },
-        forecasts: [(name("drafting"), forecast)].into(),
+        forecasts: [(name("models"), forecast)].into(),
         ..Digest::default()
     }
 }
@@ -190,12 +190,11 @@
     assert_eq!(Digest::try_from(proto::Digest::from(&digest)), Ok(digest));
 }
 
-/// Comparisons with NaN are always false, so a NaN from a faulty peer would keep requests from being
-/// placed.
+/// Comparisons with NaN are always false, so a NaN from a faulty peer would prevent placements.
 #[test]
 fn non_finite_forecasts_are_decoded_as_zero() {
     let mut invalid = proto::Digest::from(&digest());
     invalid.forecasts[0].reading = Some(proto::Trend { base: f64::NAN, slope: f64::NEG_INFINITY });
     let digest = Digest::try_from(invalid).expect("a valid digest");
-    assert_eq!(digest.forecasts["drafting"].prefill, Some(Trend { base: 0.0, slope: 0.0 }));
+    assert_eq!(digest.forecasts["models"].prefill, Some(Trend { base: 0.0, slope: 0.0 }));
 }
