--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -5,7 +5,7 @@
     future::Future,
     io,
     pin::{Pin, pin},
-    task::{Context as Poller, Poll},
+    task::{Context as TaskContext, Poll},
     time::{Duration, Instant},
 };
 
@@ -230,7 +230,7 @@
 
     /// Continues the write. A write error is not reported: the response may still be readable, and otherwise
     /// the read fails too.
-    fn poll(&mut self, cx: &mut Poller<'_>) {
+    fn poll(&mut self, cx: &mut TaskContext<'_>) {
         if self.is_over {
             return;
         }
