--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -10,7 +10,7 @@
 
 use crate::proto::{self, event, order, peer_reply, peer_request};
 
-/// Error in a received message.
+/// Error in a received message. Its text is sent to peers as a gRPC status message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DecodeError {
     /// The named required field is missing.
@@ -23,7 +23,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Missing(field) => write!(f, "message without {field}"),
-            Self::Invalid(field, value) => write!(f, "message with invalid {field} {value:?}"),
+            Self::Invalid(field, value) => write!(f, "message with unknown {field} {value:?}"),
         }
     }
 }
@@ -271,7 +271,7 @@
             },
             event::Body::Ended(ended) => Self::Ended { attempt: attempt(ended.attempt)?, total: ended.total },
             event::Body::Broken(broken) => {
-                Self::Failed { attempt: attempt(broken.attempt)?, cause: parse("cause", &broken.code)? }
+                Self::Failed { attempt: attempt(broken.attempt)?, cause: parse("breakage", &broken.code)? }
             }
             event::Body::Answered(answered) => Self::Answered {
                 attempt: attempt(answered.attempt)?,
