--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use tarragonhill_http::client::{Answer, Call, Error, Pool};
 
-use crate::standin;
+use crate::sim;
 
 /// Longest wait for an answer's head, and for each part of a stream.
 const PATIENCE: Duration = Duration::from_secs(60);
@@ -35,13 +35,13 @@
         text: String,
     },
     /// A refusal.
-    Refused(Refused),
+    Refused(Refusal),
     /// A stream that ended visibly broken.
     Broken {
         /// What came before.
         text: String,
         /// Whether an error event told why.
-        told: bool,
+        has_error_event: bool,
     },
     /// No proper HTTP answer.
     Failed(String),
@@ -60,7 +60,7 @@
 
 /// A refusal as the caller sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Refused {
+pub struct Refusal {
     /// HTTP status.
     pub status: u16,
     /// The stable code.
@@ -73,9 +73,9 @@
     pub request: String,
 }
 
-impl Refused {
+impl Refusal {
     /// Reads the body of a refusal.
-    pub fn read(status: u16, body: &Value, retry_after: Option<u64>) -> Self {
+    pub fn parse(status: u16, body: &Value, retry_after: Option<u64>) -> Self {
         let text = |field: &str| body["error"][field].as_str().unwrap_or_default().to_owned();
         let not_run = body["error"]["not_run"].as_bool().unwrap_or(false);
         Self { status, code: text("code"), not_run, retry_after, request: text("request_id") }
@@ -84,7 +84,7 @@
 
 /// An outcome with its times.
 #[derive(Clone, Debug)]
-pub struct Timed {
+pub struct TimedOutcome {
     /// What became of it.
     pub outcome: Outcome,
     /// Time to the first token, if one came.
@@ -93,14 +93,14 @@
     pub gaps: Vec<Duration>,
 }
 
-impl Timed {
+impl TimedOutcome {
     fn plain(outcome: Outcome) -> Self {
         Self { outcome, first_token: None, gaps: Vec::new() }
     }
 
     /// Whether it is the whole and right answer to `completion`.
-    pub fn is_right(&self, completion: &Completion) -> bool {
-        let expected = standin::answer(&completion.prompt, completion.max_tokens);
+    pub fn is_correct(&self, completion: &Completion) -> bool {
+        let expected = sim::answer(&completion.prompt, completion.max_tokens);
         matches!(&self.outcome, Outcome::Answered { text } if *text == expected)
     }
 }
@@ -124,7 +124,7 @@
     }
 
     /// Asks for a completion and waits for its end.
-    pub async fn complete(&self, completion: &Completion) -> Timed {
+    pub async fn complete(&self, completion: &Completion) -> TimedOutcome {
         let began = Instant::now();
         let body = json!({
             "model": completion.model,
@@ -134,10 +134,10 @@
         });
         let call = self.authorize(Call::post("/v1/completions", &body).over_kept());
         match self.pool.send(self.address, call, PATIENCE).await {
-            Err(error) => Timed::plain(Outcome::from(error)),
-            Ok(answer) if answer.status() != 200 => Timed::plain(refused(answer).await),
+            Err(error) => TimedOutcome::plain(Outcome::from(error)),
+            Ok(answer) if answer.status() != 200 => TimedOutcome::plain(refused(answer).await),
             Ok(answer) if completion.stream => read_stream(answer, began).await,
-            Ok(answer) => Timed::plain(read_whole(answer).await),
+            Ok(answer) => TimedOutcome::plain(read_whole(answer).await),
         }
     }
 
@@ -161,7 +161,7 @@
     }
 
     /// Opens a streamed completion and leaves after `tokens` tokens.
-    pub async fn leave_after(&self, completion: &Completion, tokens: usize) -> Result<(), Error> {
+    pub async fn disconnect_after(&self, completion: &Completion, tokens: usize) -> Result<(), Error> {
         let body = json!({
             "model": completion.model,
             "prompt": completion.prompt,
@@ -185,7 +185,7 @@
     let Ok(body) = answer.json::<Value>().await else {
         return Outcome::Failed(format!("status {status} without a JSON body"));
     };
-    Outcome::Refused(Refused::read(status, &body, retry_after))
+    Outcome::Refused(Refusal::parse(status, &body, retry_after))
 }
 
 async fn read_whole(answer: Answer<'_>) -> Outcome {
@@ -195,11 +195,11 @@
     }
 }
 
-async fn read_stream(mut answer: Answer<'_>, began: Instant) -> Timed {
-    let mut timed = Timed::plain(Outcome::Failed("stream ended early".into()));
+async fn read_stream(mut answer: Answer<'_>, began: Instant) -> TimedOutcome {
+    let mut timed = TimedOutcome::plain(Outcome::Failed("stream ended early".into()));
     let mut text = String::new();
     let mut last = began;
-    let (mut done, mut told) = (false, false);
+    let (mut done, mut has_error_event) = (false, false);
     loop {
         let line = match async_std::future::timeout(PATIENCE, answer.line()).await {
             Ok(Ok(Some(line))) => line,
@@ -209,11 +209,11 @@
                 return timed;
             }
             _ => {
-                timed.outcome = Outcome::Broken { text, told };
+                timed.outcome = Outcome::Broken { text, has_error_event };
                 return timed;
             }
         };
-        told |= line == "event: error";
+        has_error_event |= line == "event: error";
         let Some(data) = line.strip_prefix("data: ") else { continue };
         let value: Value = serde_json::from_str(data).unwrap_or_default();
         done |= value["done"] == true;
--- a/crates/bench/src/check/promise.rs
+++ b/crates/bench/src/check/promise.rs
@@ -5,7 +5,7 @@
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
 use super::history::{Call, Change, Confirmed, History, Sent};
-use crate::{caller::Outcome, standin};
+use crate::{caller::Outcome, sim};
 
 /// "Within seconds", for keys, drains and settings.
 const SECONDS: Duration = Duration::from_secs(8);
@@ -117,7 +117,7 @@
 
 fn whole_answer(call: &Call) -> Option<String> {
     let Sent::Completion(completion) = &call.sent else { return None };
-    let expected = standin::answer(&completion.prompt, completion.max_tokens);
+    let expected = sim::answer(&completion.prompt, completion.max_tokens);
     let wrong = call.answers.iter().find(|answer| match answer {
         Outcome::Answered { text } => *text != expected,
         Outcome::Broken { text, .. } => !expected.starts_with(text.as_str()),
@@ -154,8 +154,9 @@
         let cut = history.calls.iter().find(|call| {
             let inside =
                 call.entry == shutdown.entry && call.began < shutdown.began && call.ended > shutdown.began;
-            let is_cut =
-                |answer: &Outcome| matches!(answer, Outcome::Failed(_) | Outcome::Broken { told: false, .. });
+            let is_cut = |answer: &Outcome| {
+                matches!(answer, Outcome::Failed(_) | Outcome::Broken { has_error_event: false, .. })
+            };
             inside && call.answers.iter().any(is_cut)
         })?;
         Some(format!(
--- a/crates/bench/src/check/run.rs
+++ b/crates/bench/src/check/run.rs
@@ -19,9 +19,9 @@
     scenario::{ENTRIES, Fault, Scenario, Step, TENANTS},
 };
 use crate::{
-    caller::{Caller, Completion, Outcome, Refused},
+    caller::{Caller, Completion, Outcome, Refusal},
     fleet::{Fleet, FleetError, MODEL, SERVICE, Shape, Tenant, dump, key_of},
-    standin::{POISON, decode, lock, prefill},
+    sim::{POISON, decode, lock, prefill},
 };
 
 /// How long a fault lasts, if it ends by itself.
@@ -197,7 +197,7 @@
     let prompt = format!("{} leaves early, {number}", TENANTS[tenant]);
     let completion = Completion { model: MODEL.into(), prompt, max_tokens: 400, stream: true };
     Some(task::spawn(async move {
-        let _ = caller.leave_after(&completion, 3).await;
+        let _ = caller.disconnect_after(&completion, 3).await;
     }))
 }
 
@@ -218,7 +218,7 @@
         let answer = caller.call("POST", &path, &body, Some(&key)).await;
         let outcome = match answer {
             Ok((200, body)) => Outcome::Answered { text: body.to_string() },
-            Ok((status, body)) => Outcome::Refused(Refused::read(status, &body, None)),
+            Ok((status, body)) => Outcome::Refused(Refusal::parse(status, &body, None)),
             Err(error) => Outcome::from(error),
         };
         let request = request_of(&outcome);
@@ -315,7 +315,7 @@
     Ok(())
 }
 
-fn for_a_while(switches: &Arc<crate::standin::Switches>, set: fn(&crate::standin::Switches, bool)) {
+fn for_a_while(switches: &Arc<crate::sim::Switches>, set: fn(&crate::sim::Switches, bool)) {
     let switches = switches.clone();
     set(&switches, true);
     task::spawn(async move {
@@ -365,7 +365,7 @@
     }
 }
 
-fn collect_starts(recorder: &Recorder, history: &mut History, name: &str, starts: &crate::standin::Starts) {
+fn collect_starts(recorder: &Recorder, history: &mut History, name: &str, starts: &crate::sim::Starts) {
     for (at, work) in starts.all() {
         let request = work.split('-').next().unwrap_or_default().to_owned();
         history.executed.insert(request);
@@ -455,7 +455,7 @@
 
 /// Records a refusal that claims "not run" for a request that an engine ran.
 fn lie(recorder: &Recorder) {
-    let refused = Refused {
+    let refused = Refusal {
         status: 503,
         code: "overloaded".into(),
         not_run: true,
--- a/crates/bench/src/cmd/demo.rs
+++ b/crates/bench/src/cmd/demo.rs
@@ -11,7 +11,7 @@
 use tarragonhill_operator::Client;
 
 use crate::{
-    caller::{Caller, Completion, Outcome, Timed},
+    caller::{Caller, Completion, Outcome, TimedOutcome},
     fleet::{Fleet, FleetError, MODEL, SERVICE, Shape, Tenant, key_of},
 };
 
@@ -76,7 +76,7 @@
     Completion { model: MODEL.to_owned(), prompt, max_tokens, stream }
 }
 
-fn show(label: &str, timed: &Timed) {
+fn show(label: &str, timed: &TimedOutcome) {
     let text = match &timed.outcome {
         Outcome::Answered { text } => {
             let start: String = text.chars().take(SHOWN).collect();
@@ -98,7 +98,7 @@
         let wanted = completion(prompt, 40, number % 3 != 0);
         tasks.push(task::spawn(async move {
             let timed = caller.complete(&wanted).await;
-            (tenant, timed.is_right(&wanted), timed)
+            (tenant, timed.is_correct(&wanted), timed)
         }));
     }
     for (number, task) in tasks.into_iter().enumerate() {
@@ -122,7 +122,7 @@
     let timed = caller.complete(&wanted).await;
     show("faculty", &timed);
     let long = timed.gaps.len() >= 200;
-    tally.note("stream of several hundred tokens", timed.is_right(&wanted) && long, true);
+    tally.note("stream of several hundred tokens", timed.is_correct(&wanted) && long, true);
 }
 
 /// A caller leaves in the middle of its answer; the engine's memory must fall free.
@@ -130,7 +130,7 @@
     println!("one caller leaves after 5 tokens:");
     let caller = Caller::new(fleet.entry(1).address(), key_of("faculty"));
     let wanted = completion(format!("never read to its end: {}", "page ".repeat(400)), 400, true);
-    let left = caller.leave_after(&wanted, 5).await.is_ok();
+    let left = caller.disconnect_after(&wanted, 5).await.is_ok();
     let held = used_pieces(fleet);
     drop(caller);
     let free = eventually(|| used_pieces(fleet) == 0).await;
@@ -185,7 +185,7 @@
         let wanted = completion(format!("firing log {number}: {}", "charge ".repeat(500)), 20, false);
         tasks.push(task::spawn(async move {
             let timed = caller.complete(&wanted).await;
-            (timed.is_right(&wanted), timed)
+            (timed.is_correct(&wanted), timed)
         }));
     }
     let (mut answered, mut refused) = (0, 0);
--- a/crates/bench/src/cmd/measure.rs
+++ b/crates/bench/src/cmd/measure.rs
@@ -152,7 +152,7 @@
     }
 }
 
-fn restart_later(switches: &Arc<crate::standin::Switches>) {
+fn restart_later(switches: &Arc<crate::sim::Switches>) {
     let switches = switches.clone();
     switches.set_down(true);
     task::spawn(async move {
--- a/crates/bench/src/cmd/site.rs
+++ b/crates/bench/src/cmd/site.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     fleet::FleetError,
-    standin::{
+    sim::{
         decode, plain, prefill,
         table::{Rates, Table},
     },
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -21,7 +21,7 @@
     server::Limits,
 };
 
-use crate::standin::{
+use crate::sim::{
     decode,
     hosts::Hosts,
     plain::Service,
--- a/crates/bench/src/published/endpoint.rs
+++ b/crates/bench/src/platform/endpoint.rs
@@ -20,7 +20,7 @@
 };
 
 use super::server::{Server, Then};
-use crate::standin::lock;
+use crate::sim::lock;
 
 /// Time between two events of a stream: short, so that tests are.
 const STEP: Duration = Duration::from_millis(5);
--- a/crates/bench/src/published/server.rs
+++ b/crates/bench/src/platform/server.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use tarragonhill_h1::{Connection, body::Decoder, head::Request};
 
-use crate::standin::lock;
+use crate::sim::lock;
 
 /// Largest head and body, bytes.
 const LARGEST: usize = 8 << 20;
--- a/crates/bench/src/published/store.rs
+++ b/crates/bench/src/platform/store.rs
@@ -19,7 +19,7 @@
 };
 
 use super::server::{Server, Then};
-use crate::standin::lock;
+use crate::sim::lock;
 
 /// Most rows in an answer that lists a table.
 const PAGE: usize = 500;
--- a/crates/bench/src/score.rs
+++ b/crates/bench/src/score.rs
@@ -7,7 +7,7 @@
 use tarragonhill_core::{Time, quota::Bucket};
 
 use crate::{
-    caller::{Outcome, Timed},
+    caller::{Outcome, TimedOutcome},
     fleet::{Fleet, Tenant},
     workload::Arrival,
 };
@@ -24,7 +24,7 @@
     /// The request.
     pub arrival: Arrival,
     /// What became of it.
-    pub timed: Timed,
+    pub timed: TimedOutcome,
 }
 
 /// Scores of one run.
@@ -186,7 +186,7 @@
 }
 
 fn is_right(done: &Done) -> bool {
-    done.timed.is_right(&done.arrival.completion)
+    done.timed.is_correct(&done.arrival.completion)
 }
 
 fn is_good(done: &Done) -> bool {
@@ -206,7 +206,7 @@
     match &done.timed.outcome {
         Outcome::Answered { .. } => !is_right(done),
         Outcome::Broken { text, .. } => {
-            !crate::standin::answer(&completion.prompt, completion.max_tokens).starts_with(text.as_str())
+            !crate::sim::answer(&completion.prompt, completion.max_tokens).starts_with(text.as_str())
         }
         Outcome::Refused(_) | Outcome::Failed(_) | Outcome::Unsent(_) => false,
     }
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -11,7 +11,7 @@
 use crate::{
     caller::Completion,
     fleet::{MODEL, Shape, Tenant},
-    standin::{decode, prefill},
+    sim::{decode, prefill},
 };
 
 /// A site of the brief.
--- a/crates/bench/tests/configuration.rs
+++ b/crates/bench/tests/configuration.rs
@@ -5,7 +5,7 @@
 use async_std::{future::timeout, net::UdpSocket, task};
 use prost::Message as _;
 use serde_json::json;
-use tarragonhill_bench::published::{
+use tarragonhill_bench::platform::{
     caller::{self, plain},
     endpoint::Role,
     site::{KEY, SMALL_KEY, Shape, Site, eventually, with_customers, with_routes},
--- a/crates/bench/tests/gateway.rs
+++ b/crates/bench/tests/gateway.rs
@@ -4,7 +4,7 @@
 
 use async_std::task;
 use serde_json::json;
-use tarragonhill_bench::published::{
+use tarragonhill_bench::platform::{
     caller::{self, Answer, Caller, completion, plain},
     endpoint::{EVENTS, Endpoint, Fault, Role},
     site::{KEY, SMALL_KEY, Shape, Site, configuration, eventually, not_ready},
--- a/crates/bench/tests/path.rs
+++ b/crates/bench/tests/path.rs
@@ -7,9 +7,9 @@
 use quickcheck::{Arbitrary as _, Gen};
 use serde_json::json;
 use tarragonhill_bench::{
-    caller::{Caller, Completion, Outcome, Refused},
+    caller::{Caller, Completion, Outcome, Refusal},
     fleet::{Fleet, MODEL, SERVICE, Shape, Tenant, key_of},
-    standin::{DECODE_POISON, POISON, prefill},
+    sim::{DECODE_POISON, POISON, prefill},
 };
 use tarragonhill_core::{
     plan::Intent,
@@ -55,7 +55,7 @@
 
 fn refusal(outcome: &Outcome) -> (&str, bool) {
     match outcome {
-        Outcome::Refused(Refused { code, not_run, .. }) => (code, *not_run),
+        Outcome::Refused(Refusal { code, not_run, .. }) => (code, *not_run),
         other => panic!("not refused: {other:?}"),
     }
 }
@@ -66,7 +66,7 @@
         for (entry, stream) in [(0, true), (1, false), (2, true)] {
             let wanted = completion(&format!("question {entry}"), 20, stream);
             let timed = caller(&fleet, entry, "faculty").complete(&wanted).await;
-            assert!(timed.is_right(&wanted), "{:?}", timed.outcome);
+            assert!(timed.is_correct(&wanted), "{:?}", timed.outcome);
         }
         fleet.stop().await;
     });
@@ -78,7 +78,7 @@
 fn memory_falls_free_when_the_caller_leaves() {
     run(|fleet| async move {
         let wanted = completion("never read to its end", 5_000, true);
-        caller(&fleet, 0, "faculty").leave_after(&wanted, 2).await.expect("the stream begins");
+        caller(&fleet, 0, "faculty").disconnect_after(&wanted, 2).await.expect("the stream begins");
         let free = || async { fleet.decode.iter().all(|engine| engine.memory().0 == 0) };
         assert!(eventually(free).await);
         fleet.stop().await;
@@ -186,7 +186,7 @@
     run(|fleet| async move {
         let caller = caller(&fleet, 0, "grants");
         let wanted = completion(&"x".repeat(3_200), 100, true);
-        caller.leave_after(&wanted, 1).await.expect("the stream begins");
+        caller.disconnect_after(&wanted, 1).await.expect("the stream begins");
         let free = || async { fleet.decode.iter().all(|engine| engine.memory().0 == 0) };
         assert!(eventually(free).await);
         let again = caller.complete(&completion(&"y".repeat(3_600), 90, false)).await;
@@ -293,7 +293,7 @@
         let crashes: usize = fleet.prefill.iter().map(|engine| engine.starts.all().len()).sum();
         assert_eq!(crashes, 2);
         let innocent = completion("innocent", 4, false);
-        assert!(caller.complete(&innocent).await.is_right(&innocent));
+        assert!(caller.complete(&innocent).await.is_correct(&innocent));
         fleet.stop().await;
     });
 }
@@ -309,7 +309,7 @@
                 let caller = caller(&fleet, number % 3, "faculty");
                 task::spawn(async move {
                     let timed = caller.complete(&wanted).await;
-                    assert!(timed.is_right(&wanted), "{:?}", timed.outcome);
+                    assert!(timed.is_correct(&wanted), "{:?}", timed.outcome);
                 })
             })
             .collect();
@@ -345,7 +345,7 @@
         let engine = fleet.decode.iter().find(|engine| engine.memory().1 > 0).expect("it runs");
         engine.switches.set_down(true);
         let timed = answer.await;
-        assert!(timed.is_right(&wanted), "{:?}", timed.outcome);
+        assert!(timed.is_correct(&wanted), "{:?}", timed.outcome);
         fleet.stop().await;
     });
 }
@@ -363,7 +363,7 @@
         assert!(eventually(running).await);
         let entry = fleet.entries[1].take().expect("not killed");
         entry.shutdown().await;
-        assert!(answer.await.is_right(&wanted));
+        assert!(answer.await.is_correct(&wanted));
         fleet.stop().await;
     });
 }
@@ -448,7 +448,7 @@
         for number in 0..9 {
             let wanted = completion(&format!("after the drain {number}"), 2, false);
             let timed = caller(&fleet, number % 3, "faculty").complete(&wanted).await;
-            assert!(timed.is_right(&wanted), "{:?}", timed.outcome);
+            assert!(timed.is_correct(&wanted), "{:?}", timed.outcome);
         }
         assert_eq!(fleet.prefill[0].starts.all().len(), before);
         assert!(fleet.agents.contains_key(&format!("{}-0", Role::Prefill)));
--- a/crates/bench/tests/refusals.rs
+++ b/crates/bench/tests/refusals.rs
@@ -11,7 +11,7 @@
 use async_std::task;
 use serde_json::Value;
 use spdlog::{Logger, formatter::JsonFormatter, sink::WriteSink};
-use tarragonhill_bench::published::{
+use tarragonhill_bench::platform::{
     caller::{self, completion, plain},
     endpoint::{Fault, Role},
     site::{KEY, SMALL_KEY, Shape, Site, eventually, not_ready},
