--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -100,7 +100,7 @@
 
     /// Whether it is the whole and right answer to `completion`.
     pub fn is_correct(&self, completion: &Completion) -> bool {
-        let expected = sim::answer(&completion.prompt, completion.max_tokens);
+        let expected = sim::output_text(&completion.prompt, completion.max_tokens);
         matches!(&self.outcome, Outcome::Answered { text } if *text == expected)
     }
 }
--- a/crates/bench/src/check/promise.rs
+++ b/crates/bench/src/check/promise.rs
@@ -117,7 +117,7 @@
 
 fn whole_answer(call: &Call) -> Option<String> {
     let Sent::Completion(completion) = &call.sent else { return None };
-    let expected = sim::answer(&completion.prompt, completion.max_tokens);
+    let expected = sim::output_text(&completion.prompt, completion.max_tokens);
     let wrong = call.answers.iter().find(|answer| match answer {
         Outcome::Answered { text } => *text != expected,
         Outcome::Broken { text, .. } => !expected.starts_with(text.as_str()),
--- a/crates/bench/src/check/run.rs
+++ b/crates/bench/src/check/run.rs
@@ -85,11 +85,11 @@
         decode: 2,
         plain: 1,
         tenants,
-        prefill_power: prefill::Power { tokens_per_s: 400_000, ..prefill::Power::default() },
-        decode_power: decode::Power {
+        prefill_profile: prefill::Profile { tokens_per_s: 400_000, ..prefill::Profile::default() },
+        decode_profile: decode::Profile {
             pieces: 24,
             step: Duration::from_millis(4),
-            step_each: Duration::from_micros(200),
+            step_per_request: Duration::from_micros(200),
         },
         ..Shape::small()
     }
@@ -295,43 +295,42 @@
                 agent.kill().await;
             }
         }
-        Fault::DecodeCrash => for_a_while(&fleet.decode[0].switches, |switches, on| switches.set_down(on)),
-        Fault::PrefillCrash => for_a_while(&fleet.prefill[0].switches, |switches, on| switches.set_down(on)),
-        Fault::DecodeSilent => for_a_while(&fleet.decode[0].switches, |switches, on| switches.set_silent(on)),
-        Fault::TransferStalled => for_a_while(&fleet.prefill[0].switches, |switches, on| {
-            switches.set_slow(if on { Duration::from_millis(900) } else { Duration::ZERO });
+        Fault::DecodeCrash => for_a_while(&fleet.decode[0].faults, |faults, on| faults.set_down(on)),
+        Fault::PrefillCrash => for_a_while(&fleet.prefill[0].faults, |faults, on| faults.set_down(on)),
+        Fault::DecodeSilent => for_a_while(&fleet.decode[0].faults, |faults, on| faults.set_unresponsive(on)),
+        Fault::TransferStalled => for_a_while(&fleet.prefill[0].faults, |faults, on| {
+            faults.set_delay(if on { Duration::from_millis(900) } else { Duration::ZERO });
         }),
-        Fault::TableDown => for_a_while(&fleet.table.switches, |switches, on| switches.set_down(on)),
-        Fault::TableSlow => for_a_while(&fleet.table.switches, |switches, on| {
-            switches.set_slow(if on { Duration::from_millis(400) } else { Duration::ZERO });
+        Fault::TableDown => for_a_while(&fleet.table.faults, |faults, on| faults.set_down(on)),
+        Fault::TableSlow => for_a_while(&fleet.table.faults, |faults, on| {
+            faults.set_delay(if on { Duration::from_millis(400) } else { Duration::ZERO });
         }),
         Fault::TableLosesAnswers => {
-            for_a_while(&fleet.table.switches, |switches, on| switches.set_lose(if on { 500 } else { 0 }));
+            for_a_while(&fleet.table.faults, |faults, on| faults.set_loss_rate(if on { 500 } else { 0 }));
         }
         Fault::ServiceLosesAnswers => {
-            for_a_while(&fleet.plain[0].switches, |switches, on| switches.set_lose(if on { 500 } else { 0 }));
+            for_a_while(&fleet.plain[0].faults, |faults, on| faults.set_loss_rate(if on { 500 } else { 0 }));
         }
     }
     Ok(())
 }
 
-fn for_a_while(switches: &Arc<crate::sim::Switches>, set: fn(&crate::sim::Switches, bool)) {
-    let switches = switches.clone();
-    set(&switches, true);
+fn for_a_while(faults: &Arc<crate::sim::Faults>, set: fn(&crate::sim::Faults, bool)) {
+    let faults = faults.clone();
+    set(&faults, true);
     task::spawn(async move {
         task::sleep(FAULT).await;
-        set(&switches, false);
+        set(&faults, false);
     });
 }
 
 fn heal(fleet: &Fleet) {
-    let engines = fleet.prefill.iter().map(|engine| &engine.switches);
-    let all =
-        engines.chain(fleet.decode.iter().map(|engine| &engine.switches)).chain([&fleet.table.switches]);
-    for switches in all {
-        switches.set_down(false);
-        switches.set_silent(false);
-        switches.set_slow(Duration::ZERO);
+    let engines = fleet.prefill.iter().map(|engine| &engine.faults);
+    let all = engines.chain(fleet.decode.iter().map(|engine| &engine.faults)).chain([&fleet.table.faults]);
+    for faults in all {
+        faults.set_down(false);
+        faults.set_unresponsive(false);
+        faults.set_delay(Duration::ZERO);
     }
 }
 
@@ -351,7 +350,7 @@
     }
     for service in &fleet.plain {
         for execution in service.log() {
-            history.key_seen |= execution.key_seen;
+            history.key_seen |= execution.has_authorization;
             history.executed.insert(execution.request);
             history.filings.entry(execution.idempotency_key).or_default().push(execution.customer);
         }
@@ -365,7 +364,7 @@
     }
 }
 
-fn collect_starts(recorder: &Recorder, history: &mut History, name: &str, starts: &crate::sim::Starts) {
+fn collect_starts(recorder: &Recorder, history: &mut History, name: &str, starts: &crate::sim::StartLog) {
     for (at, work) in starts.all() {
         let request = work.split('-').next().unwrap_or_default().to_owned();
         history.executed.insert(request);
@@ -377,11 +376,11 @@
 /// Plants a defect where the promise's own guard cannot see it.
 fn plant(fleet: &mut Fleet, broken: Option<Promise>) {
     match broken {
-        Some(Promise::MemoryFreed) => fleet.decode.iter().for_each(|engine| engine.switches.set_defect(true)),
+        Some(Promise::MemoryFreed) => fleet.decode.iter().for_each(|engine| engine.faults.set_defect(true)),
         Some(Promise::WholeAnswer) => {
-            fleet.decode.iter().for_each(|engine| engine.switches.set_crossed(true))
+            fleet.decode.iter().for_each(|engine| engine.faults.set_wrong_output(true))
         }
-        Some(Promise::AtMostOnce) => fleet.plain.iter().for_each(|service| service.switches.set_defect(true)),
+        Some(Promise::AtMostOnce) => fleet.plain.iter().for_each(|service| service.faults.set_defect(true)),
         Some(Promise::KeyHonoured) => {
             let key = format!("settings/key/{}", tarragonhill_core::settings::digest(&key_of(TENANTS[0])));
             let value = json!({ "id": "crossed", "customer": TENANTS[1] });
--- a/crates/bench/src/cmd/measure.rs
+++ b/crates/bench/src/cmd/measure.rs
@@ -97,9 +97,9 @@
     let tenants = shape.tenants.clone();
     let mut fleet = Fleet::start(shape).await?;
     let delay = options.deployment.delay();
-    fleet.prefill.iter().for_each(|engine| engine.switches.set_slow(delay));
-    fleet.decode.iter().for_each(|engine| engine.switches.set_slow(delay));
-    fleet.table.switches.set_slow(2 * delay);
+    fleet.prefill.iter().for_each(|engine| engine.faults.set_delay(delay));
+    fleet.decode.iter().for_each(|engine| engine.faults.set_delay(delay));
+    fleet.table.faults.set_delay(2 * delay);
     task::sleep(SETTLE).await;
 
     let addresses: Vec<_> = fleet.entries.iter().flatten().map(|entry| entry.address()).collect();
@@ -141,22 +141,22 @@
 async fn strike(fleet: &mut Fleet, fault: Fault) {
     match fault {
         Fault::None | Fault::Uneven => {}
-        Fault::TableDown => fleet.table.switches.set_down(true),
+        Fault::TableDown => fleet.table.faults.set_down(true),
         Fault::EntryKilled => {
             if let Some(entry) = fleet.entries[0].take() {
                 entry.kill().await;
             }
         }
-        Fault::DecodeCrash => restart_later(&fleet.decode[0].switches),
-        Fault::PrefillCrash => restart_later(&fleet.prefill[0].switches),
+        Fault::DecodeCrash => restart_later(&fleet.decode[0].faults),
+        Fault::PrefillCrash => restart_later(&fleet.prefill[0].faults),
     }
 }
 
-fn restart_later(switches: &Arc<crate::sim::Switches>) {
-    let switches = switches.clone();
-    switches.set_down(true);
+fn restart_later(faults: &Arc<crate::sim::Faults>) {
+    let faults = faults.clone();
+    faults.set_down(true);
     task::spawn(async move {
         task::sleep(FAULT_LASTS).await;
-        switches.set_down(false);
+        faults.set_down(false);
     });
 }
--- a/crates/bench/src/cmd/site.rs
+++ b/crates/bench/src/cmd/site.rs
@@ -18,8 +18,8 @@
     println!("table      {}", table.address());
     let mut engines = Vec::new();
     for number in 1..=2 {
-        let prefill = prefill::Engine::start(prefill::Power::default()).await?;
-        let decode = decode::Engine::start(decode::Power::default()).await?;
+        let prefill = prefill::Engine::start(prefill::Profile::default()).await?;
+        let decode = decode::Engine::start(decode::Profile::default()).await?;
         println!("prefill-{number}  {}\ndecode-{number}   {}", prefill.address(), decode.address());
         engines.push((prefill, decode));
     }
--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -358,11 +358,11 @@
     let fleet = Fleet::start(shape).await?;
     task::sleep(SETTLE).await;
     let (cpu, (bytes, packets)) = (cpu_time(), loopback());
-    let (reads, writes) = fleet.table.served();
+    let (reads, writes) = fleet.table.request_counts();
     task::sleep(WATCH).await;
     let seconds = WATCH.as_secs_f64();
     let (more_bytes, more_packets) = loopback();
-    let (more_reads, more_writes) = fleet.table.served();
+    let (more_reads, more_writes) = fleet.table.request_counts();
     let point = Point {
         n: 0,
         cpu_us_per_s: cpu_time().saturating_sub(cpu).as_secs_f64() * 1e6 / seconds,
@@ -403,7 +403,7 @@
         let mut shape = at_rest(1, 0);
         (shape.prefill, shape.decode) = (1, 1);
         shape.tenants = vec![Tenant::new("reader", 10_000_000, 10_000_000)];
-        (shape.decode_power.pieces, shape.decode_power.step_each) = (1_000, Duration::ZERO);
+        (shape.decode_profile.pieces, shape.decode_profile.step_per_request) = (1_000, Duration::ZERO);
         let fleet = Fleet::start(shape).await?;
         let readers: Vec<_> =
             (0..n).map(|number| task::spawn(read(fleet.entry(0).address(), number))).collect();
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -77,9 +77,9 @@
     /// Placement policy.
     pub policy: Policy,
     /// What prefill engines can do.
-    pub prefill_power: prefill::Power,
+    pub prefill_profile: prefill::Profile,
     /// What decode engines can do.
-    pub decode_power: decode::Power,
+    pub decode_profile: decode::Profile,
     /// Time a plain call takes.
     pub plain_latency: Duration,
 }
@@ -95,8 +95,8 @@
             zones: 3,
             tenants: vec![Tenant::new("faculty", 200_000, 400_000), Tenant::new("grants", 50_000, 100_000)],
             policy: Policy::Current,
-            prefill_power: prefill::Power::default(),
-            decode_power: decode::Power::default(),
+            prefill_profile: prefill::Profile::default(),
+            decode_profile: decode::Profile::default(),
             plain_latency: Duration::from_millis(2),
         }
     }
@@ -184,12 +184,12 @@
     async fn start_endpoints(&mut self) -> Result<Vec<(String, Value)>, FleetError> {
         let mut rows = Vec::new();
         for number in 0..self.shape.prefill {
-            let engine = prefill::Engine::start(self.shape.prefill_power).await?;
+            let engine = prefill::Engine::start(self.shape.prefill_profile).await?;
             rows.push(self.endpoint(Role::Prefill, number, engine.address()).await?);
             self.prefill.push(engine);
         }
         for number in 0..self.shape.decode {
-            let engine = decode::Engine::start(self.shape.decode_power).await?;
+            let engine = decode::Engine::start(self.shape.decode_profile).await?;
             rows.push(self.endpoint(Role::Decode, number, engine.address()).await?);
             self.decode.push(engine);
         }
@@ -216,7 +216,7 @@
             zone: self.zone(number).into(),
             address: address.to_string().into(),
             agent: agent.address().to_string().into(),
-            pieces: if role == Role::Decode { self.shape.decode_power.pieces } else { 0 },
+            pieces: if role == Role::Decode { self.shape.decode_profile.pieces } else { 0 },
             context: if role == Role::Plain { 0 } else { 100_000 },
             checks_fencing: role == Role::Prefill,
             leaving: false,
--- a/crates/bench/src/score.rs
+++ b/crates/bench/src/score.rs
@@ -206,7 +206,7 @@
     match &done.timed.outcome {
         Outcome::Answered { .. } => !is_right(done),
         Outcome::Broken { text, .. } => {
-            !crate::sim::answer(&completion.prompt, completion.max_tokens).starts_with(text.as_str())
+            !crate::sim::output_text(&completion.prompt, completion.max_tokens).starts_with(text.as_str())
         }
         Outcome::Refused(_) | Outcome::Failed(_) | Outcome::Unsent(_) => false,
     }
--- a/crates/bench/src/sim.rs
+++ b/crates/bench/src/sim.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of engines and platform services, with switches for every failure of theirs.
+//! Stand-ins of engines and platform services, which can be made to fail in several ways.
 
 pub mod decode;
 pub mod hosts;
@@ -24,28 +24,28 @@
 /// Digest that stands for the KV cache of a prompt.
 pub fn content(prompt: &str) -> u64 {
     if prompt.contains(DECODE_POISON) {
-        return CRASHING;
+        return CRASHING_CONTENT;
     }
     tarragonhill_core::quarantine::fingerprint("", prompt.as_bytes())
 }
 
 /// Token `index` of the answer to a prompt: callers can tell a foreign or crossed answer by it.
-pub fn token(content: u64, index: u32) -> String {
+pub fn output_token(content: u64, index: u32) -> String {
     let mixed =
         (content ^ u64::from(index).wrapping_mul(0x9E37_79B9_7F4A_7C15)).wrapping_mul(0xD6E8_FEB8_6659_FD93);
     format!("t{:04x} ", mixed >> 48)
 }
 
 /// Length of the answer to a prompt: between half of the most tokens and all of them.
-pub fn length(content: u64, max_tokens: u32) -> u32 {
+pub fn output_length(content: u64, max_tokens: u32) -> u32 {
     let percent = 50 + content % 51;
     u32::try_from(u64::from(max_tokens) * percent / 100).unwrap_or(max_tokens).max(1)
 }
 
 /// The whole answer to a prompt.
-pub fn answer(prompt: &str, max_tokens: u32) -> String {
+pub fn output_text(prompt: &str, max_tokens: u32) -> String {
     let content = content(prompt);
-    (0..length(content, max_tokens)).map(|index| token(content, index)).collect()
+    (0..output_length(content, max_tokens)).map(|index| output_token(content, index)).collect()
 }
 
 /// A prompt with this word in it crashes every engine that runs it.
@@ -55,16 +55,16 @@
 pub const DECODE_POISON: &str = "<decode-poison>";
 
 /// The content of a cache that crashes decode engines.
-pub(crate) const CRASHING: u64 = u64::MAX;
+pub(crate) const CRASHING_CONTENT: u64 = u64::MAX;
 
 /// Locks a mutex whose holder may have panicked.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Failure switches that all stand-ins have.
+/// Injected faults.
 #[derive(Debug, Default)]
-pub struct Switches {
+pub struct Faults {
     /// Refuses everything.
     down: AtomicBool,
     /// Takes connections and never answers.
@@ -78,7 +78,7 @@
     crossed: AtomicBool,
 }
 
-impl Switches {
+impl Faults {
     /// Turns an outage on or off.
     pub fn set_down(&self, down: bool) {
         self.down.store(down, Ordering::Relaxed);
@@ -90,17 +90,17 @@
     }
 
     /// Turns silence on or off.
-    pub fn set_silent(&self, silent: bool) {
+    pub fn set_unresponsive(&self, silent: bool) {
         self.silent.store(silent, Ordering::Relaxed);
     }
 
     /// Slows every answer down.
-    pub fn set_slow(&self, span: Duration) {
+    pub fn set_delay(&self, span: Duration) {
         self.slow_us.store(u64::try_from(span.as_micros()).unwrap_or(u64::MAX), Ordering::Relaxed);
     }
 
     /// Loses a part of the answers, out of 1,000.
-    pub fn set_lose(&self, per_mille: u64) {
+    pub fn set_loss_rate(&self, per_mille: u64) {
         self.lose.store(per_mille, Ordering::Relaxed);
     }
 
@@ -115,17 +115,17 @@
     }
 
     /// Makes an engine answer with the tokens of another prompt.
-    pub fn set_crossed(&self, on: bool) {
+    pub fn set_wrong_output(&self, on: bool) {
         self.crossed.store(on, Ordering::Relaxed);
     }
 
-    pub(crate) fn is_crossed(&self) -> bool {
+    pub(crate) fn has_wrong_output(&self) -> bool {
         self.crossed.load(Ordering::Relaxed)
     }
 
     /// Whether the answer to the request just carried out gets lost. Spread evenly, not at random,
     /// so that runs repeat.
-    pub fn loses(&self) -> bool {
+    pub fn should_lose_response(&self) -> bool {
         let lose = self.lose.load(Ordering::Relaxed);
         if lose == 0 {
             return false;
@@ -150,9 +150,9 @@
 
 /// When an engine began which work.
 #[derive(Debug, Default)]
-pub struct Starts(Mutex<Vec<(Instant, String)>>);
+pub struct StartLog(Mutex<Vec<(Instant, String)>>);
 
-impl Starts {
+impl StartLog {
     pub(crate) fn note(&self, work: &str) {
         lock(&self.0).push((Instant::now(), work.to_owned()));
     }
@@ -165,15 +165,15 @@
 
 /// A stand-in's listener and task.
 #[derive(Debug)]
-pub struct Listening {
+pub struct Listener {
     /// Where it listens.
     pub address: SocketAddr,
     task: Option<JoinHandle<()>>,
 }
 
-impl Listening {
-    /// Serves `handler` on a port the system chooses, behind the switches.
-    pub(crate) async fn start<F, Fut>(switches: Arc<Switches>, handler: F) -> std::io::Result<Self>
+impl Listener {
+    /// Serves `handler` on a port the system chooses.
+    pub(crate) async fn start<F, Fut>(faults: Arc<Faults>, handler: F) -> std::io::Result<Self>
     where
         F: Fn(Inbound) -> Fut + Send + Sync + 'static,
         Fut: Future<Output = Outbound> + Send + 'static,
@@ -183,9 +183,9 @@
         let address = server.address();
         let handler = Arc::new(handler);
         let task = task::spawn(server.serve(move |inbound| {
-            let (switches, handler) = (switches.clone(), handler.clone());
+            let (faults, handler) = (faults.clone(), handler.clone());
             async move {
-                match switches.pass().await {
+                match faults.pass().await {
                     Ok(()) => handler(inbound).await,
                     Err(outbound) => outbound,
                 }
@@ -195,7 +195,7 @@
     }
 }
 
-impl Drop for Listening {
+impl Drop for Listener {
     fn drop(&mut self) {
         if let Some(task) = self.task.take() {
             task::spawn(task.cancel());
@@ -204,12 +204,12 @@
 }
 
 /// A parsed query.
-pub(crate) fn query(inbound: &Inbound) -> BTreeMap<&str, &str> {
+pub(crate) fn parse_query(inbound: &Inbound) -> BTreeMap<&str, &str> {
     inbound.query.split('&').filter_map(|part| part.split_once('=')).collect()
 }
 
 /// Reads a JSON body.
-pub(crate) fn body<T: serde::de::DeserializeOwned>(inbound: &Inbound) -> Result<T, Outbound> {
+pub(crate) fn parse_body<T: serde::de::DeserializeOwned>(inbound: &Inbound) -> Result<T, Outbound> {
     let bytes = inbound.body.as_deref().unwrap_or_default();
     serde_json::from_slice(bytes).map_err(|error| Outbound::text(400, error.to_string()))
 }
--- a/crates/bench/src/sim/decode.rs
+++ b/crates/bench/src/sim/decode.rs
@@ -18,25 +18,25 @@
     server::{Inbound, Outbound},
 };
 
-use super::{CRASHING, Listening, Starts, Switches, body, length, lock, token};
+use super::{CRASHING_CONTENT, Faults, Listener, StartLog, lock, output_length, output_token, parse_body};
 
 /// Longest wait for an export.
 const IMPORT: Duration = Duration::from_secs(5);
 
 /// What a decode engine can do.
 #[derive(Clone, Copy, Debug)]
-pub struct Power {
+pub struct Profile {
     /// Memory, pieces.
     pub pieces: u32,
     /// Time between tokens of a lone request.
     pub step: Duration,
     /// Added to the step for each other request.
-    pub step_each: Duration,
+    pub step_per_request: Duration,
 }
 
-impl Default for Power {
+impl Default for Profile {
     fn default() -> Self {
-        Self { pieces: 44, step: Duration::from_millis(24), step_each: Duration::from_millis(1) }
+        Self { pieces: 44, step: Duration::from_millis(24), step_per_request: Duration::from_millis(1) }
     }
 }
 
@@ -82,36 +82,36 @@
 /// The engine.
 #[derive(Debug)]
 pub struct Engine {
-    /// Failure switches.
-    pub switches: Arc<Switches>,
+    /// Injected faults.
+    pub faults: Arc<Faults>,
     /// What it did.
     pub counts: Arc<Counts>,
     /// When it began which decode.
-    pub starts: Arc<Starts>,
-    listening: Listening,
+    pub starts: Arc<StartLog>,
+    listener: Listener,
     state: Arc<Mutex<State>>,
 }
 
 impl Engine {
     /// Starts an idle engine.
-    pub async fn start(power: Power) -> std::io::Result<Self> {
-        let switches = Arc::new(Switches::default());
+    pub async fn start(profile: Profile) -> std::io::Result<Self> {
+        let faults = Arc::new(Faults::default());
         let counts: Arc<Counts> = Arc::default();
         let state: Arc<Mutex<State>> = Arc::default();
         let pool: Arc<Pool> = Arc::default();
-        let starts: Arc<Starts> = Arc::default();
-        let shared = (state.clone(), counts.clone(), starts.clone(), switches.clone(), pool);
-        let listening = Listening::start(switches.clone(), move |inbound| {
-            let (state, counts, starts, switches, pool) = shared.clone();
-            async move { answer(Running { state, counts, starts, switches, pool, power }, inbound) }
+        let starts: Arc<StartLog> = Arc::default();
+        let shared = (state.clone(), counts.clone(), starts.clone(), faults.clone(), pool);
+        let listener = Listener::start(faults.clone(), move |inbound| {
+            let (state, counts, starts, faults, pool) = shared.clone();
+            async move { answer(Running { state, counts, starts, faults, pool, profile }, inbound) }
         })
         .await?;
-        Ok(Self { switches, counts, starts, listening, state })
+        Ok(Self { faults, counts, starts, listener, state })
     }
 
     /// Where it listens.
     pub fn address(&self) -> std::net::SocketAddr {
-        self.listening.address
+        self.listener.address
     }
 
     /// Pieces in use, and requests that use them.
@@ -125,15 +125,15 @@
 struct Running {
     state: Arc<Mutex<State>>,
     counts: Arc<Counts>,
-    starts: Arc<Starts>,
-    switches: Arc<Switches>,
+    starts: Arc<StartLog>,
+    faults: Arc<Faults>,
     pool: Arc<Pool>,
-    power: Power,
+    profile: Profile,
 }
 
 fn answer(running: Running, inbound: Inbound) -> Outbound {
     match (inbound.method.as_str(), inbound.path.as_str()) {
-        ("POST", "/decode") => match body(&inbound) {
+        ("POST", "/decode") => match parse_body(&inbound) {
             Ok(work) => decode(running, work),
             Err(outbound) => outbound,
         },
@@ -144,7 +144,7 @@
             if let Some((_, cancelled)) = state.memory.get_mut(id) {
                 *cancelled = true;
             }
-            if !running.switches.has_defect() {
+            if !running.faults.has_defect() {
                 state.free(id);
             }
             Outbound::text(200, "cancelled")
@@ -157,14 +157,14 @@
     let (outbound, sender) = Outbound::stream(200, "application/x-ndjson");
     task::spawn(async move {
         let need = pieces(work.prompt_tokens + work.max_tokens);
-        if !lock(&running.state).take(&work.id, need, running.power.pieces) {
+        if !lock(&running.state).take(&work.id, need, running.profile.pieces) {
             running.counts.full.fetch_add(1, Ordering::Relaxed);
             let _ = send(&sender, &Line::Full).await;
             return;
         }
         running.starts.note(&work.id);
         run(&running, &work, &sender).await;
-        if !running.switches.has_defect() {
+        if !running.faults.has_defect() {
             lock(&running.state).free(&work.id);
         }
     });
@@ -178,27 +178,27 @@
         return;
     };
     running.counts.imported.fetch_add(export.prompt_tokens.into(), Ordering::Relaxed);
-    if export.content == CRASHING {
+    if export.content == CRASHING_CONTENT {
         lock(&running.state).process += 1;
     }
-    if running.switches.is_crossed() {
+    if running.faults.has_wrong_output() {
         export.content = !export.content;
     }
     if !send(sender, &Line::Imported).await {
         return;
     }
-    let total = length(export.content, work.max_tokens);
+    let total = output_length(export.content, work.max_tokens);
     let mut due = Instant::now();
     let process = lock(&running.state).process;
     for index in work.from_index..total {
         due += step(running);
         task::sleep(due.saturating_duration_since(Instant::now())).await;
         let crashed = lock(&running.state).process != process;
-        if crashed || running.switches.is_down() || export.content == CRASHING {
+        if crashed || running.faults.is_down() || export.content == CRASHING_CONTENT {
             let _ = sender.send(Err(std::io::Error::other("engine crashed"))).await;
             return;
         }
-        let line = Line::Token { index, text: token(export.content, index).into() };
+        let line = Line::Token { index, text: output_token(export.content, index).into() };
         let cancelled = !lock(&running.state).memory.contains_key(&work.id);
         if cancelled || !send(sender, &line).await {
             return;
@@ -212,7 +212,7 @@
 
 fn step(running: &Running) -> Duration {
     let others = lock(&running.state).memory.len().saturating_sub(1);
-    running.power.step + running.power.step_each * u32::try_from(others).unwrap_or(u32::MAX)
+    running.profile.step + running.profile.step_per_request * u32::try_from(others).unwrap_or(u32::MAX)
 }
 
 async fn import(running: &Running, work: &Decode) -> Option<Export> {
--- a/crates/bench/src/sim/hosts.rs
+++ b/crates/bench/src/sim/hosts.rs
@@ -9,36 +9,36 @@
 use tarragonhill_http::server::Outbound;
 use tarragonhill_table::{Host, HostState};
 
-use super::{Listening, Switches, lock};
+use super::{Faults, Listener, lock};
 
 type Known = BTreeMap<String, Vec<(Instant, HostState)>>;
 
 /// The list.
 #[derive(Debug)]
 pub struct Hosts {
-    /// Failure switches.
-    pub switches: Arc<Switches>,
-    listening: Listening,
+    /// Injected faults.
+    pub faults: Arc<Faults>,
+    listener: Listener,
     known: Arc<Mutex<Known>>,
 }
 
 impl Hosts {
     /// Starts an empty list that shows changes after `lag`.
     pub async fn start(lag: Duration) -> std::io::Result<Self> {
-        let switches = Arc::new(Switches::default());
+        let faults = Arc::new(Faults::default());
         let known: Arc<Mutex<Known>> = Arc::default();
         let shared = known.clone();
-        let listening = Listening::start(switches.clone(), move |_| {
+        let listener = Listener::start(faults.clone(), move |_| {
             let known = shared.clone();
             async move { Outbound::json(200, &listed(&lock(&known), lag)) }
         })
         .await?;
-        Ok(Self { switches, listening, known })
+        Ok(Self { faults, listener, known })
     }
 
     /// Where it listens.
     pub fn address(&self) -> std::net::SocketAddr {
-        self.listening.address
+        self.listener.address
     }
 
     /// Sets a host's state; the list shows it after the lag.
--- a/crates/bench/src/sim/objects.rs
+++ b/crates/bench/src/sim/objects.rs
@@ -8,34 +8,34 @@
 
 use tarragonhill_http::server::{Inbound, Outbound};
 
-use super::{Listening, Switches, lock};
+use super::{Faults, Listener, lock};
 
 type Stored = BTreeMap<String, Vec<u8>>;
 
 /// The store.
 #[derive(Debug)]
 pub struct Objects {
-    /// Failure switches.
-    pub switches: Arc<Switches>,
-    listening: Listening,
+    /// Injected faults.
+    pub faults: Arc<Faults>,
+    listener: Listener,
 }
 
 impl Objects {
     /// Starts an empty store.
     pub async fn start() -> std::io::Result<Self> {
-        let switches = Arc::new(Switches::default());
+        let faults = Arc::new(Faults::default());
         let stored: Arc<Mutex<Stored>> = Arc::default();
-        let listening = Listening::start(switches.clone(), move |inbound| {
+        let listener = Listener::start(faults.clone(), move |inbound| {
             let stored = stored.clone();
             async move { answer(&mut lock(&stored), inbound) }
         })
         .await?;
-        Ok(Self { switches, listening })
+        Ok(Self { faults, listener })
     }
 
     /// Where it listens.
     pub fn address(&self) -> std::net::SocketAddr {
-        self.listening.address
+        self.listener.address
     }
 }
 
--- a/crates/bench/src/sim/plain.rs
+++ b/crates/bench/src/sim/plain.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use tarragonhill_http::server::{Inbound, Outbound};
 
-use super::{Listening, Switches, lock};
+use super::{Faults, Listener, lock};
 
 /// What one execution was asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,48 +22,48 @@
     /// The router's identifier of the request.
     pub request: String,
     /// Whether a caller's key came with it.
-    pub key_seen: bool,
+    pub has_authorization: bool,
 }
 
 /// The service. It executes every call it gets, as often as it gets it: keeping calls from being
 /// repeated is the router's work.
 #[derive(Debug)]
 pub struct Service {
-    /// Failure switches.
-    pub switches: Arc<Switches>,
-    listening: Listening,
+    /// Injected faults.
+    pub faults: Arc<Faults>,
+    listener: Listener,
     executed: Arc<Mutex<Vec<Execution>>>,
 }
 
 impl Service {
     /// Starts a service that takes `latency` for each call.
     pub async fn start(latency: Duration) -> std::io::Result<Self> {
-        let switches = Arc::new(Switches::default());
+        let faults = Arc::new(Faults::default());
         let executed: Arc<Mutex<Vec<Execution>>> = Arc::default();
-        let shared = (executed.clone(), switches.clone());
-        let listening = Listening::start(switches.clone(), move |inbound| {
-            let (executed, switches) = shared.clone();
+        let shared = (executed.clone(), faults.clone());
+        let listener = Listener::start(faults.clone(), move |inbound| {
+            let (executed, faults) = shared.clone();
             async move {
                 if !latency.is_zero() {
                     task::sleep(latency).await;
                 }
                 let outbound = answer(&executed, &inbound);
-                if switches.has_defect() {
+                if faults.has_defect() {
                     answer(&executed, &inbound);
                 }
-                match inbound.method != "GET" && switches.loses() {
-                    true => super::prefill::crash(),
+                match inbound.method != "GET" && faults.should_lose_response() {
+                    true => super::prefill::crash_response(),
                     false => outbound,
                 }
             }
         })
         .await?;
-        Ok(Self { switches, listening, executed })
+        Ok(Self { faults, listener, executed })
     }
 
     /// Where it listens.
     pub fn address(&self) -> std::net::SocketAddr {
-        self.listening.address
+        self.listener.address
     }
 
     /// Calls executed that may not be repeated, with how often.
@@ -91,7 +91,7 @@
         idempotency_key: header("idempotency-key"),
         customer: header("x-customer"),
         request: header("x-request-id"),
-        key_seen: inbound.header("authorization").is_some(),
+        has_authorization: inbound.header("authorization").is_some(),
     });
     Outbound::json(200, &json!({ "filed": inbound.path, "number": executed.len() }))
 }
--- a/crates/bench/src/sim/table.rs
+++ b/crates/bench/src/sim/table.rs
@@ -14,7 +14,7 @@
 use tarragonhill_http::server::{Inbound, Outbound};
 use tarragonhill_table::{Row, Rows, Transaction};
 
-use super::{Listening, Switches, body, lock, query};
+use super::{Faults, Listener, lock, parse_body, parse_query};
 
 /// Limits of the service, a second.
 #[derive(Clone, Copy, Debug)]
@@ -89,9 +89,9 @@
 /// The service.
 #[derive(Debug)]
 pub struct Table {
-    /// Failure switches.
-    pub switches: Arc<Switches>,
-    listening: Listening,
+    /// Injected faults.
+    pub faults: Arc<Faults>,
+    listener: Listener,
     stored: Arc<Mutex<Stored>>,
     reads: Arc<AtomicU64>,
     writes: Arc<AtomicU64>,
@@ -125,7 +125,7 @@
 impl Table {
     /// Starts an empty table.
     pub async fn start(rates: Rates) -> std::io::Result<Self> {
-        let switches = Arc::new(Switches::default());
+        let faults = Arc::new(Faults::default());
         let stored: Arc<Mutex<Stored>> = Arc::default();
         let (reads, writes): (Arc<AtomicU64>, Arc<AtomicU64>) = Default::default();
         let limiter = Arc::new(Mutex::new(Limiter {
@@ -134,9 +134,9 @@
             reads: Bucket::full(rates.reads, rates.reads, Time::ZERO),
         }));
         let late: Arc<Mutex<Option<Late>>> = Arc::default();
-        let shared = (stored.clone(), limiter, switches.clone(), reads.clone(), writes.clone(), late.clone());
-        let listening = Listening::start(switches.clone(), move |inbound| {
-            let (stored, limiter, switches, reads, writes, late) = shared.clone();
+        let shared = (stored.clone(), limiter, faults.clone(), reads.clone(), writes.clone(), late.clone());
+        let listener = Listener::start(faults.clone(), move |inbound| {
+            let (stored, limiter, faults, reads, writes, late) = shared.clone();
             async move {
                 let is_write = inbound.method == "POST";
                 if !allowed(&limiter, is_write) {
@@ -147,7 +147,7 @@
                     return Outbound::text(500, "lost");
                 }
                 let outbound = answer(&stored, &inbound);
-                if is_write && switches.loses() {
+                if is_write && faults.should_lose_response() {
                     // The write took effect and its answer is lost.
                     async_std::task::sleep(Duration::from_secs(3)).await;
                     return Outbound::text(500, "lost");
@@ -156,15 +156,15 @@
             }
         })
         .await?;
-        Ok(Self { switches, listening, stored, reads, writes, late })
+        Ok(Self { faults, listener, stored, reads, writes, late })
     }
 
     /// Where it listens.
     pub fn address(&self) -> std::net::SocketAddr {
-        self.listening.address
+        self.listener.address
     }
 
-    /// Writes rows as if an operator had, past limits and switches.
+    /// Writes rows as if an operator had, past limits and faults.
     pub fn put(&self, rows: impl IntoIterator<Item = (String, Value)>) {
         let writes = rows.into_iter().map(|(key, value)| tarragonhill_table::Write {
             key,
@@ -190,14 +190,14 @@
     }
 
     /// Reads and writes served so far.
-    pub fn served(&self) -> (u64, u64) {
+    pub fn request_counts(&self) -> (u64, u64) {
         (self.reads.load(Ordering::Relaxed), self.writes.load(Ordering::Relaxed))
     }
 }
 
 /// Takes a write that is to land later; true if this was one.
 fn delayed(stored: &Arc<Mutex<Stored>>, late: &Mutex<Option<Late>>, inbound: &Inbound) -> bool {
-    let Ok(transaction) = body::<Transaction>(inbound) else { return false };
+    let Ok(transaction) = parse_body::<Transaction>(inbound) else { return false };
     let Some(after) = Late::takes(&mut lock(late), &transaction) else { return false };
     let stored = stored.clone();
     async_std::task::spawn(async move {
@@ -216,7 +216,7 @@
 
 fn answer(stored: &Mutex<Stored>, inbound: &Inbound) -> Outbound {
     if inbound.method == "POST" && inbound.path == "/commit" {
-        let transaction: Transaction = match body(inbound) {
+        let transaction: Transaction = match parse_body(inbound) {
             Ok(transaction) => transaction,
             Err(outbound) => return outbound,
         };
@@ -226,7 +226,7 @@
         };
     }
     if inbound.path == "/list" {
-        let query = query(inbound);
+        let query = parse_query(inbound);
         let after = query.get("after").and_then(|after| after.parse().ok()).unwrap_or(0);
         let prefix = query.get("prefix").copied().unwrap_or_default();
         return Outbound::json(200, &lock(stored).list(prefix, after));
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -97,8 +97,8 @@
             zones: 3,
             tenants: tenants.collect(),
             policy,
-            prefill_power: prefill::Power::default(),
-            decode_power: decode::Power::default(),
+            prefill_profile: prefill::Profile::default(),
+            decode_profile: decode::Profile::default(),
             plain_latency: Duration::from_millis(2),
         }
     }
--- a/crates/bench/tests/path.rs
+++ b/crates/bench/tests/path.rs
@@ -22,7 +22,7 @@
 
 fn shape() -> Shape {
     Shape {
-        prefill_power: prefill::Power { tokens_per_s: 1_000_000, ..prefill::Power::default() },
+        prefill_profile: prefill::Profile { tokens_per_s: 1_000_000, ..prefill::Profile::default() },
         tenants: vec![
             Tenant::new("faculty", 500_000, 1_000_000),
             Tenant::new("grants", 1_000, 1_000),
@@ -200,7 +200,7 @@
 #[test]
 fn call_with_a_lost_answer_is_never_sent_again() {
     run(|fleet| async move {
-        fleet.plain.iter().for_each(|service| service.switches.set_lose(1_000));
+        fleet.plain.iter().for_each(|service| service.faults.set_loss_rate(1_000));
         let path = format!("/v1/services/{SERVICE}/submissions");
         let file = |entry| {
             let caller = caller(&fleet, entry, "faculty");
@@ -209,7 +209,7 @@
         };
         let (status, body) = file(0).await;
         assert_eq!((status, body["error"]["code"].as_str()), (502, Some("outcome_unknown")));
-        fleet.plain.iter().for_each(|service| service.switches.set_lose(0));
+        fleet.plain.iter().for_each(|service| service.faults.set_loss_rate(0));
         let (status, body) = file(1).await;
         assert_eq!((status, body["error"]["code"].as_str()), (502, Some("outcome_unknown")));
         let executed: u32 = fleet.plain.iter().flat_map(|s| s.executions().into_values()).sum();
@@ -251,7 +251,7 @@
 #[test]
 fn call_without_a_record_is_not_sent() {
     run(|fleet| async move {
-        fleet.table.switches.set_down(true);
+        fleet.table.faults.set_down(true);
         let path = format!("/v1/services/{SERVICE}/submissions");
         let caller = caller(&fleet, 0, "faculty");
         let (status, body) = caller.call("POST", &path, &json!({}), Some("s-2")).await.expect("an answer");
@@ -260,7 +260,7 @@
             (503, &json!("record_unavailable"), &json!(true))
         );
         assert!(fleet.plain.iter().all(|service| service.executions().is_empty()));
-        fleet.table.switches.set_down(false);
+        fleet.table.faults.set_down(false);
         let (status, _) = caller.call("POST", &path, &json!({}), Some("s-2")).await.expect("an answer");
         assert_eq!(status, 200);
         fleet.stop().await;
@@ -343,7 +343,7 @@
         let running = || async { fleet.decode.iter().any(|engine| engine.memory().1 > 0) };
         assert!(eventually(running).await);
         let engine = fleet.decode.iter().find(|engine| engine.memory().1 > 0).expect("it runs");
-        engine.switches.set_down(true);
+        engine.faults.set_down(true);
         let timed = answer.await;
         assert!(timed.is_correct(&wanted), "{:?}", timed.outcome);
         fleet.stop().await;
@@ -395,9 +395,9 @@
         let client = Client::new(fleet.entry(0).admin(), None);
         let intent = Intent::WithdrawKey { id: "grants-1".into(), running: WithdrawalPolicy::Cut };
         let planned = client.plan(&intent).await.expect("a plan");
-        fleet.table.switches.set_lose(1_000);
+        fleet.table.faults.set_loss_rate(1_000);
         let _ = client.confirm(&planned).await;
-        fleet.table.switches.set_lose(0);
+        fleet.table.faults.set_loss_rate(0);
         assert_eq!(client.resolve(&planned.plan.id).await.expect("known")["outcome"], "confirmed");
         for entry in 0..3 {
             let caller = caller(&fleet, entry, "grants");
@@ -414,9 +414,9 @@
 /// though the engine had worked on it: found by `check`, seed 12, as not-run-true broken.
 #[test]
 fn request_cut_in_its_prefill_is_not_called_not_run() {
-    let slow = prefill::Power { tokens_per_s: 50, ..prefill::Power::default() };
+    let slow = prefill::Profile { tokens_per_s: 50, ..prefill::Profile::default() };
     task::block_on(async {
-        let fleet = Fleet::start(Shape { prefill_power: slow, ..shape() }).await.expect("the fleet starts");
+        let fleet = Fleet::start(Shape { prefill_profile: slow, ..shape() }).await.expect("the fleet starts");
         let wanted = completion(&"x".repeat(2_000), 4, false);
         let caller = caller(&fleet, 0, "grants");
         let answer = task::spawn(async move { caller.complete(&wanted).await });
