--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -41,7 +41,7 @@
         /// What came before.
         text: String,
         /// Whether an error event told why.
-        has_error_event: bool,
+        has_error: bool,
     },
     /// No proper HTTP answer.
     Failed(String),
@@ -199,7 +199,7 @@
     let mut timed = TimedOutcome::plain(Outcome::Failed("stream ended early".into()));
     let mut text = String::new();
     let mut last = began;
-    let (mut done, mut has_error_event) = (false, false);
+    let (mut done, mut has_error) = (false, false);
     loop {
         let line = match async_std::future::timeout(PATIENCE, answer.line()).await {
             Ok(Ok(Some(line))) => line,
@@ -209,11 +209,11 @@
                 return timed;
             }
             _ => {
-                timed.outcome = Outcome::Broken { text, has_error_event };
+                timed.outcome = Outcome::Broken { text, has_error };
                 return timed;
             }
         };
-        has_error_event |= line == "event: error";
+        has_error |= line == "event: error";
         let Some(data) = line.strip_prefix("data: ") else { continue };
         let value: Value = serde_json::from_str(data).unwrap_or_default();
         done |= value["done"] == true;
--- a/crates/bench/src/check/promise.rs
+++ b/crates/bench/src/check/promise.rs
@@ -154,9 +154,8 @@
         let cut = history.calls.iter().find(|call| {
             let inside =
                 call.entry == shutdown.entry && call.began < shutdown.began && call.ended > shutdown.began;
-            let is_cut = |answer: &Outcome| {
-                matches!(answer, Outcome::Failed(_) | Outcome::Broken { has_error_event: false, .. })
-            };
+            let is_cut =
+                |end: &Outcome| matches!(end, Outcome::Failed(_) | Outcome::Broken { has_error: false, .. });
             inside && call.answers.iter().any(is_cut)
         })?;
         Some(format!(
--- a/crates/bench/src/platform/caller.rs
+++ b/crates/bench/src/platform/caller.rs
@@ -6,13 +6,13 @@
 use tarragonhill_h1::{
     Connection, Error,
     body::{Decoder, Framing},
-    head::{Request, Response},
+    head::{Request, Response as ResponseHead},
 };
 
 /// Longest time to make a connection.
-const CONNECT_LIMIT: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Largest head and body, bytes.
-const LARGEST: usize = 8 << 20;
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 /// A connection of a caller.
 pub struct Caller {
@@ -21,34 +21,34 @@
 
 /// An answer, as far as it came.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// The head.
-    pub head: Response,
+    pub head: ResponseHead,
     /// The body, without its framing.
     pub body: Vec<u8>,
     /// Whether the body came to its proper end.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl Response {
     /// The body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
     /// The ids of a stream's events.
-    pub fn ids(&self) -> Vec<u32> {
+    pub fn event_ids(&self) -> Vec<u32> {
         self.text().lines().filter_map(|line| line.strip_prefix("id: ")?.parse().ok()).collect()
     }
 
     /// A field of the head.
-    pub fn field(&self, name: &str) -> Option<&str> {
+    pub fn header(&self, name: &str) -> Option<&str> {
         self.head.fields.get(name)
     }
 }
 
 /// A plain request with a key.
-pub fn plain(method: &str, target: &str, key: &str, id: &str) -> Request {
+pub fn plain_request(method: &str, target: &str, key: &str, id: &str) -> Request {
     let mut head = Request::new(method, target);
     head.fields.push("Host", "a.example");
     head.fields.push("Tarragonhill-Request-Id", id);
@@ -58,8 +58,8 @@
 }
 
 /// A completion of some prompt tokens with a key.
-pub fn completion(target: &str, key: &str, id: &str, prompt: u64) -> Request {
-    let mut head = plain("POST", target, key, id);
+pub fn completion_request(target: &str, key: &str, id: &str, prompt: u64) -> Request {
+    let mut head = plain_request("POST", target, key, id);
     head.fields.push("Tarragonhill-Model", "m");
     head.fields.push("Tarragonhill-Token-Counts", format!("{prompt},220"));
     head.fields.push("Tarragonhill-Prompt-Prefix", format!("5c1e07a2:{prompt}"));
@@ -70,7 +70,7 @@
 impl Caller {
     /// Opens a connection.
     pub async fn open(address: SocketAddr) -> io::Result<Self> {
-        Ok(Self { connection: Connection::open(address, CONNECT_LIMIT, CONNECT_LIMIT).await? })
+        Ok(Self { connection: Connection::open(address, CONNECT_TIMEOUT, CONNECT_TIMEOUT).await? })
     }
 
     /// Sends a request.
@@ -89,37 +89,37 @@
     }
 
     /// Reads the next answer as far as it comes.
-    pub async fn answer(&mut self) -> Result<Answer, Error> {
-        let head = self.connection.response(LARGEST).await?;
+    pub async fn read_response(&mut self) -> Result<Response, Error> {
+        let head = self.connection.response(MAX_MESSAGE_BYTES).await?;
         let framing = head.framing("GET").unwrap_or(Framing::Empty);
         let mut decoder = Decoder::new(framing);
         let mut body = Vec::new();
-        let whole = loop {
+        let is_complete = loop {
             match self.connection.part(&mut decoder).await {
                 Ok(Some(part)) => body.extend_from_slice(&part),
                 Ok(None) => break true,
                 Err(_) => break false,
             }
         };
-        Ok(Answer { head, body, whole })
+        Ok(Response { head, body, is_complete })
     }
 
     /// Reads the head of the next answer and the first part of its body.
-    pub async fn first_part(&mut self) -> Result<(Response, Option<Bytes>), Error> {
-        let head = self.connection.response(LARGEST).await?;
+    pub async fn read_first_part(&mut self) -> Result<(ResponseHead, Option<Bytes>), Error> {
+        let head = self.connection.response(MAX_MESSAGE_BYTES).await?;
         let mut decoder = Decoder::new(head.framing("GET").unwrap_or(Framing::Empty));
         let part = self.connection.part(&mut decoder).await?;
         Ok((head, part))
     }
 
     /// Sends a request and reads its answer.
-    pub async fn ask(&mut self, head: Request, body: &[u8]) -> Result<Answer, Error> {
+    pub async fn request(&mut self, head: Request, body: &[u8]) -> Result<Response, Error> {
         self.send(head, body).await?;
-        self.answer().await
+        self.read_response().await
     }
 }
 
 /// Sends one request on a connection of its own.
-pub async fn ask(address: SocketAddr, head: Request, body: &[u8]) -> Result<Answer, Error> {
-    Caller::open(address).await?.ask(head, body).await
+pub async fn request(address: SocketAddr, head: Request, body: &[u8]) -> Result<Response, Error> {
+    Caller::open(address).await?.request(head, body).await
 }
--- a/crates/bench/src/platform/endpoint.rs
+++ b/crates/bench/src/platform/endpoint.rs
@@ -19,15 +19,15 @@
     head::{Request, Response},
 };
 
-use super::server::{Server, Then};
+use super::server::{Action, Server};
 use crate::sim::lock;
 
 /// Time between two events of a stream: short, so that tests are.
-const STEP: Duration = Duration::from_millis(5);
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 /// How long a late refusal takes: longer than a gateway waits before it asks a second endpoint.
-const LATE: Duration = Duration::from_millis(700);
+const LATE_REFUSAL_DELAY: Duration = Duration::from_millis(700);
 /// Events of a stream.
-pub const EVENTS: u32 = 20;
+pub const EVENT_COUNT: u32 = 20;
 
 /// What an endpoint is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
@@ -78,39 +78,39 @@
 
 /// A request that reached the endpoint.
 #[derive(Clone, Debug)]
-pub struct Arrival {
+pub struct ReceivedRequest {
     /// Its head.
     pub head: Request,
     /// Its body.
     pub body: Bytes,
-    /// Whether the endpoint ran it.
-    pub ran: bool,
+    /// Whether the endpoint executed it.
+    pub was_executed: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
     fault: Fault,
     /// The fault passes after so many requests.
-    left: Option<u32>,
-    arrivals: Vec<Arrival>,
+    remaining_faults: Option<u32>,
+    received: Vec<ReceivedRequest>,
     /// Tokens that may still be reserved.
-    memory: u64,
-    holds: BTreeMap<String, u64>,
+    free_tokens: u64,
+    reservations: BTreeMap<String, u64>,
     released: u64,
     /// Streams under way.
-    running: u32,
+    active_streams: u32,
     /// Streams whose callers left.
     abandoned: u32,
     /// The stage that an order gave it, in place of its first.
-    ordered: Option<Role>,
+    assigned_role: Option<Role>,
     /// Orders taken: holder and fencing token.
     orders: Vec<(String, u64)>,
-    next: u64,
+    last_id: u64,
 }
 
 impl State {
     fn take_fault(&mut self) -> Fault {
-        match &mut self.left {
+        match &mut self.remaining_faults {
             Some(0) => return Fault::None,
             Some(left) => *left -= 1,
             None => {}
@@ -118,14 +118,14 @@
         self.fault
     }
 
-    fn name(&mut self, of: &str) -> String {
-        self.next += 1;
-        format!("{of}{}", self.next)
+    fn next_id(&mut self, prefix: &str) -> String {
+        self.last_id += 1;
+        format!("{prefix}{}", self.last_id)
     }
 }
 
-/// Results of prefills that wait to be taken, over all engines of a site.
-pub type Results = Arc<Mutex<BTreeSet<String>>>;
+/// Handles of prefill results that wait to be taken, over all engines of a site.
+pub type KvHandles = Arc<Mutex<BTreeSet<String>>>;
 
 /// A running endpoint.
 pub struct Endpoint {
@@ -141,16 +141,22 @@
         id: &str,
         role: Role,
         address: SocketAddr,
-        memory: u64,
-        results: Results,
+        free_tokens: u64,
+        kv_handles: KvHandles,
     ) -> io::Result<Self> {
         let id: Arc<str> = id.into();
-        let state = Arc::new(Mutex::new(State { memory, ..State::default() }));
+        let state = Arc::new(Mutex::new(State { free_tokens, ..State::default() }));
         let (shared, own) = (state.clone(), id.clone());
         let server = Server::start(address, move |head, body, connection| {
-            let call =
-                Call { id: own.clone(), role, state: shared.clone(), results: results.clone(), head, body };
-            async move { call.answer(connection).await }
+            let exchange = Exchange {
+                id: own.clone(),
+                role,
+                state: shared.clone(),
+                kv_handles: kv_handles.clone(),
+                head,
+                body,
+            };
+            async move { exchange.answer(connection).await }
         });
         Ok(Self { id, role, server: server.await?, state })
     }
@@ -162,7 +168,7 @@
 
     /// What it is now.
     pub fn role(&self) -> Role {
-        lock(&self.state).ordered.unwrap_or(self.role)
+        lock(&self.state).assigned_role.unwrap_or(self.role)
     }
 
     /// Orders that it took: holder and fencing token.
@@ -178,13 +184,13 @@
     /// Fails from now on.
     pub fn set_fault(&self, fault: Fault) {
         let mut state = lock(&self.state);
-        (state.fault, state.left) = (fault, None);
+        (state.fault, state.remaining_faults) = (fault, None);
     }
 
     /// Fails the next requests.
     pub fn fail_next(&self, fault: Fault, count: u32) {
         let mut state = lock(&self.state);
-        (state.fault, state.left) = (fault, Some(count));
+        (state.fault, state.remaining_faults) = (fault, Some(count));
     }
 
     /// Ends at once, with all connections.
@@ -193,18 +199,18 @@
     }
 
     /// What reached it.
-    pub fn arrivals(&self) -> Vec<Arrival> {
-        lock(&self.state).arrivals.clone()
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        lock(&self.state).received.clone()
     }
 
-    /// What it ran.
-    pub fn runs(&self) -> Vec<Arrival> {
-        self.arrivals().into_iter().filter(|arrival| arrival.ran).collect()
+    /// Requests that were executed.
+    pub fn executed(&self) -> Vec<ReceivedRequest> {
+        self.received().into_iter().filter(|request| request.was_executed).collect()
     }
 
     /// Streams under way.
-    pub fn running(&self) -> u32 {
-        lock(&self.state).running
+    pub fn active_streams(&self) -> u32 {
+        lock(&self.state).active_streams
     }
 
     /// Streams whose callers left.
@@ -213,28 +219,28 @@
     }
 
     /// Reservations that were neither used nor released.
-    pub fn holds(&self) -> usize {
-        lock(&self.state).holds.len()
+    pub fn reservations(&self) -> usize {
+        lock(&self.state).reservations.len()
     }
 
-    /// Reservations and results given back.
+    /// Reservations and KV handles released.
     pub fn released(&self) -> u64 {
         lock(&self.state).released
     }
 }
 
 /// One request on its way through the endpoint.
-struct Call {
+struct Exchange {
     id: Arc<str>,
     role: Role,
     state: Arc<Mutex<State>>,
-    results: Results,
+    kv_handles: KvHandles,
     head: Request,
     body: Bytes,
 }
 
-impl Call {
-    async fn answer(self, connection: Connection) -> (Connection, Then) {
+impl Exchange {
+    async fn answer(self, connection: Connection) -> (Connection, Action) {
         let expected = self.head.fields.get("Tarragonhill-Expected-Instance");
         let is_other = lock(&self.state).fault == Fault::Replaced;
         if is_other || expected.is_some_and(|expected| expected != &*self.id) {
@@ -242,7 +248,7 @@
             let head = self.head(421, false);
             let mut head = head;
             head.fields.push("Tarragonhill-Instance-Id", instance);
-            return send(connection, head, b"", Then::Keep).await;
+            return send(connection, head, b"", Action::Keep).await;
         }
         match (self.head.method.as_str(), self.head.path()) {
             ("POST", "/v1/hold-take") => self.hold(connection).await,
@@ -252,7 +258,7 @@
             ("GET", "/v1/report") => {
                 let report = {
                     let state = lock(&self.state);
-                    let stage = state.ordered.unwrap_or(self.role).to_string();
+                    let stage = state.assigned_role.unwrap_or(self.role).to_string();
                     json!({"stage": stage, "busy": false, "seq": state.orders.len()})
                 };
                 self.json(connection, 200, &report).await
@@ -263,15 +269,15 @@
         }
     }
 
-    async fn hold(self, connection: Connection) -> (Connection, Then) {
+    async fn hold(self, connection: Connection) -> (Connection, Action) {
         let wanted: Value = serde_json::from_slice(&self.body).unwrap_or_default();
         let tokens = wanted["tokens"].as_u64().unwrap_or(u64::MAX);
         let granted = {
             let mut state = lock(&self.state);
-            (state.memory >= tokens).then(|| {
-                state.memory -= tokens;
-                let name = state.name("h");
-                state.holds.insert(name.clone(), tokens);
+            (state.free_tokens >= tokens).then(|| {
+                state.free_tokens -= tokens;
+                let name = state.next_id("h");
+                state.reservations.insert(name.clone(), tokens);
                 name
             })
         };
@@ -281,7 +287,7 @@
         }
     }
 
-    async fn order(self, connection: Connection) -> (Connection, Then) {
+    async fn order(self, connection: Connection) -> (Connection, Action) {
         let order: Value = serde_json::from_slice(&self.body).unwrap_or_default();
         let stage = match order["stage"].as_str() {
             Some("prefill") => Some(Role::Prefill),
@@ -291,181 +297,181 @@
         let (Some(stage), Some(holder), Some(token)) =
             (stage, order["holder"].as_str(), order["fencing_token"].as_u64())
         else {
-            return send(connection, self.head(400, false), b"", Then::Keep).await;
+            return send(connection, self.head(400, false), b"", Action::Keep).await;
         };
         let is_current = {
             let mut state = lock(&self.state);
             let is_current = order["expected_revision"].as_u64() == Some(state.orders.len() as u64);
             if is_current {
                 state.orders.push((holder.into(), token));
-                state.ordered = Some(stage);
+                state.assigned_role = Some(stage);
             }
             is_current
         };
         self.json(connection, if is_current { 202 } else { 409 }, &json!({})).await
     }
 
-    async fn release(self, connection: Connection) -> (Connection, Then) {
+    async fn release(self, connection: Connection) -> (Connection, Action) {
         let name = self.head.path().rsplit('/').next().unwrap_or_default().to_owned();
         {
             let mut state = lock(&self.state);
             state.released += 1;
-            if let Some(tokens) = state.holds.remove(&name) {
-                state.memory += tokens;
+            if let Some(tokens) = state.reservations.remove(&name) {
+                state.free_tokens += tokens;
             }
         }
-        lock(&self.results).remove(&name);
+        lock(&self.kv_handles).remove(&name);
         self.json(connection, 200, &json!({})).await
     }
 
-    async fn work(self, connection: Connection) -> (Connection, Then) {
+    async fn work(self, connection: Connection) -> (Connection, Action) {
         let fault = lock(&self.state).take_fault();
         match fault {
             Fault::Refuse | Fault::RefuseLate => {
                 if fault == Fault::RefuseLate {
-                    task::sleep(LATE).await;
+                    task::sleep(LATE_REFUSAL_DELAY).await;
                 }
-                self.note(false);
+                self.record(false);
                 return self.refuse(connection).await;
             }
             Fault::Busy => {
-                self.note(false);
-                return send(connection, self.head(503, false), b"", Then::Keep).await;
+                self.record(false);
+                return send(connection, self.head(503, false), b"", Action::Keep).await;
             }
             _ => {}
         }
         let stage = self.head.fields.get("Tarragonhill-Serving-Stage");
-        let role = lock(&self.state).ordered.unwrap_or(self.role);
+        let role = lock(&self.state).assigned_role.unwrap_or(self.role);
         match (role, stage) {
             (Role::Prefill, Some("prefill")) => self.prefill(connection, fault).await,
             (Role::Decode, None) => self.decode(connection, fault).await,
             (Role::Plain, None) => self.plain(connection, fault).await,
-            _ => send(connection, self.head(421, false), b"", Then::Keep).await,
+            _ => send(connection, self.head(421, false), b"", Action::Keep).await,
         }
     }
 
-    async fn prefill(self, connection: Connection, fault: Fault) -> (Connection, Then) {
-        self.note(true);
+    async fn prefill(self, connection: Connection, fault: Fault) -> (Connection, Action) {
+        self.record(true);
         if fault == Fault::ResetAfterRun {
-            return (connection, Then::Reset);
+            return (connection, Action::Reset);
         }
         if fault == Fault::Hang {
             return hang(connection).await;
         }
-        let name = format!("{}-{}", self.id, lock(&self.state).name("r"));
-        lock(&self.results).insert(name.clone());
-        task::sleep(STEP).await;
+        let name = format!("{}-{}", self.id, lock(&self.state).next_id("r"));
+        lock(&self.kv_handles).insert(name.clone());
+        task::sleep(EVENT_INTERVAL).await;
         self.json(connection, 200, &json!({"kv_handle": name, "tokens": 1, "version": 1})).await
     }
 
-    async fn decode(self, connection: Connection, fault: Fault) -> (Connection, Then) {
+    async fn decode(self, connection: Connection, fault: Fault) -> (Connection, Action) {
         if let Some(source) = self.head.fields.get("Tarragonhill-Kv-Source") {
             let name = source.rsplit('/').next().unwrap_or_default();
-            if !lock(&self.results).remove(name) {
-                self.note(false);
+            if !lock(&self.kv_handles).remove(name) {
+                self.record(false);
                 return self.refuse(connection).await;
             }
         }
         let hold = self.head.fields.get("Tarragonhill-Kv-Hold").map(str::to_owned);
-        let held = hold.as_ref().and_then(|hold| lock(&self.state).holds.remove(hold));
-        self.note(true);
-        lock(&self.state).running += 1;
+        let held = hold.as_ref().and_then(|hold| lock(&self.state).reservations.remove(hold));
+        self.record(true);
+        lock(&self.state).active_streams += 1;
         let ended = self.stream(connection, fault).await;
         let mut state = lock(&self.state);
-        state.running -= 1;
-        state.memory += held.unwrap_or(0);
+        state.active_streams -= 1;
+        state.free_tokens += held.unwrap_or(0);
         ended
     }
 
-    async fn stream(&self, mut connection: Connection, fault: Fault) -> (Connection, Then) {
+    async fn stream(&self, mut connection: Connection, fault: Fault) -> (Connection, Action) {
         match fault {
-            Fault::ResetAfterRun => return (connection, Then::Reset),
+            Fault::ResetAfterRun => return (connection, Action::Reset),
             Fault::Hang => return hang(connection).await,
-            Fault::Error => return send(connection, self.head(500, true), b"failed", Then::Keep).await,
+            Fault::Error => return send(connection, self.head(500, true), b"failed", Action::Keep).await,
             _ => {}
         }
         let mut head = self.head(200, fault != Fault::Unsigned);
         head.fields.push("Content-Type", "text/event-stream");
         head.fields.push("Transfer-Encoding", "chunked");
         if connection.write(&head.encode()).await.is_err() {
-            return (connection, Then::Close);
+            return (connection, Action::Close);
         }
         let last = self.head.fields.get("Last-Event-Id").and_then(|id| id.parse().ok()).unwrap_or(0);
-        for id in last + 1..=EVENTS {
+        for id in last + 1..=EVENT_COUNT {
             let event = format!("id: {id}\ndata: token-{id}\n\n");
-            let is_middle = id == EVENTS / 2;
+            let is_middle = id == EVENT_COUNT / 2;
             if is_middle && fault == Fault::Cut {
-                return (connection, Then::Reset);
+                return (connection, Action::Reset);
             }
             if is_middle && fault == Fault::Silent {
                 return hang(connection).await;
             }
             if is_middle && fault == Fault::CutInEvent {
                 let _ = connection.write(&chunk(&event.as_bytes()[..event.len() / 2])).await;
-                return (connection, Then::Close);
+                return (connection, Action::Close);
             }
             let mut left = self.left(&mut connection).await;
             left |= connection.write(&chunk(event.as_bytes())).await.is_err();
             if left {
                 lock(&self.state).abandoned += 1;
-                return (connection, Then::Close);
+                return (connection, Action::Close);
             }
         }
         let _ = connection.write(LAST_CHUNK).await;
-        (connection, Then::Keep)
+        (connection, Action::Keep)
     }
 
     /// Waits for one step; true if the caller closes its connection meanwhile.
     async fn left(&self, connection: &mut Connection) -> bool {
         let step = async {
-            task::sleep(STEP).await;
+            task::sleep(EVENT_INTERVAL).await;
             false
         };
         let closed = async { !matches!(connection.fill().await, Ok(read) if read > 0) };
         future::or(step, closed).await
     }
 
-    async fn plain(self, connection: Connection, fault: Fault) -> (Connection, Then) {
-        self.note(true);
+    async fn plain(self, connection: Connection, fault: Fault) -> (Connection, Action) {
+        self.record(true);
         let body =
             format!("{} {} {}", self.head.method, self.head.target, String::from_utf8_lossy(&self.body));
         let good = self.head(200, fault != Fault::Unsigned);
         match fault {
-            Fault::ResetAfterRun => (connection, Then::Reset),
+            Fault::ResetAfterRun => (connection, Action::Reset),
             Fault::Hang => hang(connection).await,
-            Fault::Error => send(connection, self.head(500, true), b"failed", Then::Keep).await,
+            Fault::Error => send(connection, self.head(500, true), b"failed", Action::Keep).await,
             Fault::Cut | Fault::CutInEvent => {
                 let mut connection = connection;
                 let mut head = good;
                 head.fields.push("Content-Length", body.len().to_string());
                 let _ = connection.write(&head.encode()).await;
                 let _ = connection.write(&body.as_bytes()[..body.len() / 2]).await;
-                (connection, Then::Close)
+                (connection, Action::Close)
             }
             Fault::Unframed => {
                 let mut connection = connection;
                 let _ = connection.write(&good.encode()).await;
                 let _ = connection.write(body.as_bytes()).await;
-                (connection, Then::Close)
+                (connection, Action::Close)
             }
             Fault::Extra => {
                 let second = self.head(200, true);
-                let (mut connection, then) = send(connection, good, body.as_bytes(), Then::Keep).await;
+                let (mut connection, action) = send(connection, good, body.as_bytes(), Action::Keep).await;
                 // Behind the first, at the place of the next answer.
-                task::sleep(STEP).await;
+                task::sleep(EVENT_INTERVAL).await;
                 let mut second = second;
                 second.fields.push("Content-Length", "5");
                 let _ = connection.write(&second.encode()).await;
                 let _ = connection.write(b"stray").await;
-                (connection, then)
+                (connection, action)
             }
-            _ => send(connection, good, body.as_bytes(), Then::Keep).await,
+            _ => send(connection, good, body.as_bytes(), Action::Keep).await,
         }
     }
 
-    fn note(&self, ran: bool) {
-        let arrival = Arrival { head: self.head.clone(), body: self.body.clone(), ran };
-        lock(&self.state).arrivals.push(arrival);
+    fn record(&self, was_executed: bool) {
+        let request = ReceivedRequest { head: self.head.clone(), body: self.body.clone(), was_executed };
+        lock(&self.state).received.push(request);
     }
 
     fn head(&self, status: u16, signed: bool) -> Response {
@@ -479,28 +485,33 @@
         head
     }
 
-    async fn refuse(&self, connection: Connection) -> (Connection, Then) {
+    async fn refuse(&self, connection: Connection) -> (Connection, Action) {
         let mut head = self.head(503, false);
         head.fields.push("Tarragonhill-Not-Executed", "1");
-        send(connection, head, b"", Then::Keep).await
+        send(connection, head, b"", Action::Keep).await
     }
 
-    async fn json(&self, connection: Connection, status: u16, value: &Value) -> (Connection, Then) {
+    async fn json(&self, connection: Connection, status: u16, value: &Value) -> (Connection, Action) {
         let mut head = self.head(status, false);
         head.fields.push("Content-Type", "application/json");
-        send(connection, head, value.to_string().as_bytes(), Then::Keep).await
+        send(connection, head, value.to_string().as_bytes(), Action::Keep).await
     }
 }
 
-async fn hang(mut connection: Connection) -> (Connection, Then) {
+async fn hang(mut connection: Connection) -> (Connection, Action) {
     while matches!(connection.fill().await, Ok(read) if read > 0) {}
-    (connection, Then::Close)
+    (connection, Action::Close)
 }
 
-async fn send(mut connection: Connection, mut head: Response, body: &[u8], then: Then) -> (Connection, Then) {
+async fn send(
+    mut connection: Connection,
+    mut head: Response,
+    body: &[u8],
+    action: Action,
+) -> (Connection, Action) {
     head.fields.push("Content-Length", body.len().to_string());
     let mut bytes = head.encode();
     bytes.extend_from_slice(body);
     let written = connection.write(&bytes).await;
-    (connection, if written.is_ok() { then } else { Then::Close })
+    (connection, if written.is_ok() { action } else { Action::Close })
 }
--- a/crates/bench/src/platform/server.rs
+++ b/crates/bench/src/platform/server.rs
@@ -18,13 +18,13 @@
 use crate::sim::lock;
 
 /// Largest head and body, bytes.
-const LARGEST: usize = 8 << 20;
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
 /// Bytes may stay unacknowledged this long.
 const USER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What becomes of a connection after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Then {
+pub(crate) enum Action {
     /// It takes the next request.
     Keep,
     /// It is closed.
@@ -44,7 +44,7 @@
     pub(crate) async fn start<F, Fut>(address: SocketAddr, handler: F) -> io::Result<Self>
     where
         F: Fn(Request, Bytes, Connection) -> Fut + Clone + Send + Sync + 'static,
-        Fut: Future<Output = (Connection, Then)> + Send + 'static,
+        Fut: Future<Output = (Connection, Action)> + Send + 'static,
     {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
@@ -55,13 +55,13 @@
         let address = listener.local_addr()?;
         let tasks: Arc<Mutex<Vec<JoinHandle<()>>>> = Arc::default();
         let connections = tasks.clone();
-        let accepting = task::spawn(async move {
+        let accept_task = task::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let task = task::spawn(converse(stream, handler.clone()));
+                let task = task::spawn(serve_connection(stream, handler.clone()));
                 lock(&connections).push(task);
             }
         });
-        lock(&tasks).push(accepting);
+        lock(&tasks).push(accept_task);
         Ok(Self { address, tasks })
     }
 
@@ -87,21 +87,21 @@
     }
 }
 
-async fn converse<F, Fut>(stream: TcpStream, handler: F)
+async fn serve_connection<F, Fut>(stream: TcpStream, handler: F)
 where
     F: Fn(Request, Bytes, Connection) -> Fut,
-    Fut: Future<Output = (Connection, Then)>,
+    Fut: Future<Output = (Connection, Action)>,
 {
     let mut connection = Connection::new(stream, USER_TIMEOUT);
-    while let Ok(head) = connection.request(LARGEST).await {
+    while let Ok(head) = connection.request(MAX_MESSAGE_BYTES).await {
         let Ok(framing) = head.framing() else { return };
-        let Ok(body) = connection.whole(&mut Decoder::new(framing), LARGEST).await else { return };
-        let then;
-        (connection, then) = handler(head, body, connection).await;
-        match then {
-            Then::Keep => {}
-            Then::Close => return,
-            Then::Reset => return reset(&connection),
+        let Ok(body) = connection.whole(&mut Decoder::new(framing), MAX_MESSAGE_BYTES).await else { return };
+        let action;
+        (connection, action) = handler(head, body, connection).await;
+        match action {
+            Action::Keep => {}
+            Action::Close => return,
+            Action::Reset => return reset(&connection),
         }
     }
 }
--- a/crates/bench/src/platform/site.rs
+++ b/crates/bench/src/platform/site.rs
@@ -21,7 +21,7 @@
 };
 
 use super::{
-    endpoint::{Endpoint, Results, Role},
+    endpoint::{Endpoint, KvHandles, Role},
     store::Store,
 };
 
@@ -30,15 +30,15 @@
 /// A key of the customer with a small rate.
 pub const SMALL_KEY: &str = "key-small";
 /// Memory of each engine, tokens.
-pub const MEMORY: u64 = 20_000;
+pub const KV_CACHE_TOKENS: u64 = 20_000;
 /// The service of the engines.
-const MODELS: &str = "models";
+const MODEL_SERVICE: &str = "models";
 /// The plain service.
-const FILING: &str = "filing";
+const PLAIN_SERVICE: &str = "filing";
 /// How often a test looks whether something has come about.
-const POLL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Longest wait for something to come about.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Why a site does not start.
 #[derive(Debug)]
@@ -92,7 +92,7 @@
     /// Entries; a test may take one out to stop it.
     pub gateways: Vec<Gateway>,
     endpoints: Vec<Arc<Endpoint>>,
-    results: Results,
+    kv_handles: KvHandles,
     /// The loopback address of this site alone: a port that comes free here is not taken by another
     /// site of the same process, whose processes would be taken for ours.
     ip: Ipv4Addr,
@@ -111,46 +111,46 @@
             [(Role::Prefill, shape.prefill), (Role::Decode, shape.decode), (Role::Plain, shape.plain)]
         {
             for _ in 0..count {
-                site.add(role).await?;
+                site.add_endpoint(role).await?;
             }
         }
         site.configure(&configuration(1));
         for _ in 0..shape.gateways {
             site.add_gateway().await?;
         }
-        site.settled().await;
+        site.wait_until_synced().await;
         Ok(site)
     }
 
     /// A site with nothing but a store.
     pub async fn empty() -> Result<Self, SiteError> {
-        let ip = own_ip();
+        let ip = unique_loopback_ip();
         let store = Store::start(SocketAddr::from((ip, 0))).await?;
-        let results = Results::default();
+        let kv_handles = KvHandles::default();
         Ok(Self {
             store,
             gateways: Vec::new(),
             endpoints: Vec::new(),
-            results,
+            kv_handles,
             ip,
-            peer_ip: own_ip(),
+            peer_ip: unique_loopback_ip(),
             counter: 0,
         })
     }
 
     /// Starts a further gateway.
     pub async fn add_gateway(&mut self) -> Result<(), SiteError> {
-        self.add_gateway_by(Clock::runtime()).await
+        self.add_gateway_with_clock(Clock::runtime()).await
     }
 
     /// Starts a further gateway that lives by a clock.
-    pub async fn add_gateway_by(&mut self, clock: Clock) -> Result<(), SiteError> {
+    pub async fn add_gateway_with_clock(&mut self, clock: Clock) -> Result<(), SiteError> {
         let table = self.store.address();
-        self.add_gateway_on(table, clock).await
+        self.add_gateway_with_store(table, clock).await
     }
 
     /// Starts a further gateway that reads a store of its own.
-    pub async fn add_gateway_on(&mut self, table: SocketAddr, clock: Clock) -> Result<(), SiteError> {
+    pub async fn add_gateway_with_store(&mut self, table: SocketAddr, clock: Clock) -> Result<(), SiteError> {
         let peer = SocketAddr::from((self.peer_ip, 0));
         let mut settings = self.settings(self.gateways.len() + 1, peer);
         settings.common.table = table;
@@ -187,27 +187,32 @@
     }
 
     /// Starts a further endpoint and lists it.
-    pub async fn add(&mut self, role: Role) -> Result<Arc<Endpoint>, SiteError> {
-        self.add_at(role, SocketAddr::from((self.ip, 0))).await
+    pub async fn add_endpoint(&mut self, role: Role) -> Result<Arc<Endpoint>, SiteError> {
+        self.add_endpoint_at(role, SocketAddr::from((self.ip, 0))).await
     }
 
     /// Starts a further endpoint at an address and lists it.
-    pub async fn add_at(&mut self, role: Role, address: SocketAddr) -> Result<Arc<Endpoint>, SiteError> {
+    pub async fn add_endpoint_at(
+        &mut self,
+        role: Role,
+        address: SocketAddr,
+    ) -> Result<Arc<Endpoint>, SiteError> {
         self.counter += 1;
         let id = format!("{role}-{}", self.counter);
-        let endpoint = Arc::new(Endpoint::start(&id, role, address, MEMORY, self.results.clone()).await?);
-        self.list(&endpoint, "ready");
+        let endpoint =
+            Arc::new(Endpoint::start(&id, role, address, KV_CACHE_TOKENS, self.kv_handles.clone()).await?);
+        self.register(&endpoint, "ready");
         self.endpoints.push(endpoint.clone());
         Ok(endpoint)
     }
 
     /// Writes an endpoint's entry.
-    pub fn list(&mut self, endpoint: &Endpoint, state: &str) {
+    pub fn register(&mut self, endpoint: &Endpoint, state: &str) {
         self.counter += 1;
         let mut entry = json!({
-            "service": if endpoint.role() == Role::Plain { FILING } else { MODELS },
+            "service": if endpoint.role() == Role::Plain { PLAIN_SERVICE } else { MODEL_SERVICE },
             "address": endpoint.address().to_string(), "zone": "zone-a", "version": "v1", "slots": 48,
-            "state": state, "cold_remaining_ms": 0, "seq": self.counter, "born": born(endpoint),
+            "state": state, "cold_remaining_ms": 0, "seq": self.counter, "born": start_number(endpoint),
         });
         if endpoint.role() != Role::Plain {
             entry["stage"] = endpoint.role().to_string().into();
@@ -235,14 +240,14 @@
         let admin = self.gateways[gateway].admin();
         let mut head = tarragonhill_h1::head::Request::new("GET", "/state");
         head.fields.push("Host", "admin");
-        let answer = super::caller::ask(admin, head, b"").await;
+        let answer = super::caller::request(admin, head, b"").await;
         answer.ok().and_then(|answer| serde_json::from_slice(&answer.body).ok()).unwrap_or_default()
     }
 
     /// Waits until every gateway knows every endpoint and every other gateway.
-    pub async fn settled(&self) {
+    pub async fn wait_until_synced(&self) {
         for gateway in 0..self.gateways.len() {
-            eventually("the gateway knows the site", async || {
+            wait_until("the gateway knows the site", async || {
                 let state = self.state(gateway).await;
                 let known = state["endpoints"].as_array().map_or(0, Vec::len);
                 known == self.endpoints.len()
@@ -254,8 +259,8 @@
     }
 
     /// Waits until the first gateway has a version of the configuration.
-    pub async fn in_force(&self, version: u64) {
-        eventually("the configuration is in force", async || {
+    pub async fn wait_for_version(&self, version: u64) {
+        wait_until("the configuration is in force", async || {
             self.state(0).await["version"].as_u64() == Some(version)
         })
         .await;
@@ -263,7 +268,7 @@
 }
 
 /// A loopback address for one site, different from those of other sites and other processes.
-fn own_ip() -> Ipv4Addr {
+fn unique_loopback_ip() -> Ipv4Addr {
     static SITES: AtomicU32 = AtomicU32::new(0);
     let [_, _, high, low] = SITES.fetch_add(1, Ordering::Relaxed).to_be_bytes();
     let process = u8::try_from(std::process::id() % 250).unwrap_or(0) + 2;
@@ -271,25 +276,25 @@
 }
 
 /// Ordered as the endpoints' names are.
-fn born(endpoint: &Endpoint) -> u64 {
+fn start_number(endpoint: &Endpoint) -> u64 {
     endpoint.id().rsplit('-').next().and_then(|number| number.parse().ok()).unwrap_or(0)
 }
 
 /// Waits until something has come about; panics if it does not for long.
-pub async fn eventually(what: &str, mut look: impl AsyncFnMut() -> bool) {
+pub async fn wait_until(what: &str, mut is_met: impl AsyncFnMut() -> bool) {
     let began = std::time::Instant::now();
-    while !look().await {
-        assert!(began.elapsed() < PATIENCE, "not seen: {what}");
-        task::sleep(POLL).await;
+    while !is_met().await {
+        assert!(began.elapsed() < WAIT_TIMEOUT, "not seen: {what}");
+        task::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Waits until the gateway at an admin address says that it is not ready.
-pub async fn not_ready(admin: SocketAddr) {
-    eventually("it is not ready", async || {
+pub async fn wait_until_not_ready(admin: SocketAddr) {
+    wait_until("it is not ready", async || {
         let mut head = tarragonhill_h1::head::Request::new("GET", "/v1/readiness");
         head.fields.push("Host", "admin");
-        super::caller::ask(admin, head, b"").await.is_ok_and(|answer| answer.head.status == 503)
+        super::caller::request(admin, head, b"").await.is_ok_and(|answer| answer.head.status == 503)
     })
     .await;
 }
@@ -303,19 +308,19 @@
             "allow_anonymous": false, "allow_resume": false, "target_gap_ms": 300,
         })
     };
-    let mut resumable = route("resumable", "streaming", MODELS);
+    let mut resumable = route("resumable", "streaming", MODEL_SERVICE);
     resumable["allow_resume"] = true.into();
     resumable["max_attempts"] = 2.into();
-    let mut lookup = route("lookup", "safe", FILING);
+    let mut lookup = route("lookup", "safe", PLAIN_SERVICE);
     lookup["max_attempts"] = 2.into();
     json!({
         "version": version,
-        "routes": [route("stream", "streaming", MODELS), resumable, route("submit", "unsafe", FILING), lookup],
+        "routes": [route("stream", "streaming", MODEL_SERVICE), resumable, route("submit", "unsafe", PLAIN_SERVICE), lookup],
         "services": [
-            {"name": MODELS, "health_path": "/health", "max_connections": 290, "engine": {
-                "slots": 48, "kv_cache_tokens": MEMORY, "kv_token_bytes": 131_072, "link_mbps": 1_500_000.0,
+            {"name": MODEL_SERVICE, "health_path": "/health", "max_connections": 290, "engine": {
+                "slots": 48, "kv_cache_tokens": KV_CACHE_TOKENS, "kv_token_bytes": 131_072, "link_mbps": 1_500_000.0,
                 "handle_ttl_s": 0.5, "switch_s": 6.0, "hold_ms": 2_000.0}},
-            {"name": FILING, "health_path": "/health", "max_connections": 96},
+            {"name": PLAIN_SERVICE, "health_path": "/health", "max_connections": 96},
         ],
         "limits": {"max_header_bytes": 16_384, "max_body_bytes": 65_536, "header_timeout_ms": 3_000,
             "idle_timeout_ms": 15_000},
--- a/crates/bench/src/platform/store.rs
+++ b/crates/bench/src/platform/store.rs
@@ -18,13 +18,13 @@
     head::{Request, Response},
 };
 
-use super::server::{Server, Then};
+use super::server::{Action, Server};
 use crate::sim::lock;
 
 /// Most rows in an answer that lists a table.
-const PAGE: usize = 500;
+const PAGE_ROWS: usize = 500;
 /// How often a waiting feed looks for changes.
-const POLL: Duration = Duration::from_millis(5);
+const FEED_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Chunks a second in which an answer is written at a limited rate.
 const CHUNKS_PER_S: u64 = 20;
 
@@ -58,7 +58,7 @@
     /// By table and key; gone rows stay as marks.
     rows: BTreeMap<(String, String), Row>,
     /// Changes before this version are forgotten.
-    oldest: u64,
+    oldest_version: u64,
     fault: Fault,
     /// Bytes a second at which answers are written; as fast as the peer reads without it.
     rate: Option<u64>,
@@ -134,7 +134,7 @@
     }
 
     /// Writes bytes that are no JSON.
-    pub fn put_garbage(&self, table: &str, key: &str) {
+    pub fn put_invalid(&self, table: &str, key: &str) {
         lock(&self.state).write(table, key, Some(STANDARD.encode([0xff, 0, 0x7b])));
     }
 
@@ -154,10 +154,10 @@
     }
 
     /// Forgets its history: feeds that go on from before are told so.
-    pub fn forget(&self) {
+    pub fn discard_history(&self) {
         let mut state = lock(&self.state);
         state.version += 1;
-        state.oldest = state.version;
+        state.oldest_version = state.version;
     }
 
     /// Whether it holds a row.
@@ -177,16 +177,16 @@
     head: Request,
     body: Vec<u8>,
     mut connection: Connection,
-) -> (Connection, Then) {
+) -> (Connection, Action) {
     lock(&state).calls += 1;
     let fault = lock(&state).fault;
     match fault {
         Fault::None | Fault::Stalled => {}
         Fault::Busy => return reply(&state, connection, 503, &json!({})).await,
-        Fault::Reset => return (connection, Then::Reset),
+        Fault::Reset => return (connection, Action::Reset),
         Fault::Silent => {
             wait_for_close(&mut connection).await;
-            return (connection, Then::Close);
+            return (connection, Action::Close);
         }
     }
     let query: BTreeMap<&str, &str> = head
@@ -205,7 +205,7 @@
         _ => (404, json!({})),
     };
     if lock(&state).fault == Fault::Reset {
-        return (connection, Then::Reset);
+        return (connection, Action::Reset);
     }
     reply(&state, connection, status, &value).await
 }
@@ -215,9 +215,9 @@
     let from = from.replace("%00", "\0");
     let rows = state.rows.iter().filter(|((of, key), row)| of == table && !row.removed && *key >= from);
     let mut rows: Vec<Value> =
-        rows.take(PAGE + 1).map(|((table, key), row)| encode(table, key, row)).collect();
-    let truncated = rows.len() > PAGE;
-    rows.truncate(PAGE);
+        rows.take(PAGE_ROWS + 1).map(|((table, key), row)| encode(table, key, row)).collect();
+    let truncated = rows.len() > PAGE_ROWS;
+    rows.truncate(PAGE_ROWS);
     let mut answer = state.answer(rows);
     answer["truncated"] = truncated.into();
     answer
@@ -228,7 +228,7 @@
     loop {
         {
             let state = lock(state);
-            if after < state.oldest {
+            if after < state.oldest_version {
                 return (410, json!({}));
             }
             let rows = state.select(table, |_, row| row.version > after);
@@ -237,7 +237,7 @@
                 return (200, state.answer(rows));
             }
         }
-        task::sleep(POLL).await;
+        task::sleep(FEED_POLL_INTERVAL).await;
     }
 }
 
@@ -283,7 +283,7 @@
     mut connection: Connection,
     status: u16,
     value: &Value,
-) -> (Connection, Then) {
+) -> (Connection, Action) {
     let body = value.to_string();
     let mut head = Response::new(status);
     head.fields.push("Content-Type", "application/json");
@@ -295,13 +295,13 @@
         // Fails only if the peer has given up already.
         let _ = connection.write(&bytes[..bytes.len() / 2]).await;
         wait_for_close(&mut connection).await;
-        return (connection, Then::Close);
+        return (connection, Action::Close);
     }
     let written = match rate {
         None => connection.write(&bytes).await,
         Some(rate) => write_at(&mut connection, &bytes, rate).await,
     };
-    (connection, if written.is_ok() { Then::Keep } else { Then::Close })
+    (connection, if written.is_ok() { Action::Keep } else { Action::Close })
 }
 
 /// Completes once the peer has closed the connection.
--- a/crates/bench/tests/configuration.rs
+++ b/crates/bench/tests/configuration.rs
@@ -6,9 +6,9 @@
 use prost::Message as _;
 use serde_json::json;
 use tarragonhill_bench::platform::{
-    caller::{self, plain},
+    caller::{self, plain_request},
     endpoint::Role,
-    site::{KEY, SMALL_KEY, Shape, Site, eventually, with_customers, with_routes},
+    site::{KEY, SMALL_KEY, Shape, Site, wait_until, with_customers, with_routes},
     store::{Fault, Store},
 };
 use tarragonhill_core::Clock;
@@ -35,17 +35,17 @@
 }
 
 async fn status(site: &Site, path: &str) -> u16 {
-    let answer = caller::ask(site.address(), plain("GET", path, KEY, "r1"), b"").await;
+    let answer = caller::request(site.address(), plain_request("GET", path, KEY, "r1"), b"").await;
     answer.expect("an answer").head.status
 }
 
 /// Two gateways; the store of the second goes its own way from now on.
 async fn partitioned() -> (Site, Store) {
     let mut site = one_gateway().await;
-    eventually("the entry is listed", async || site.store.has("entries", "entry-1")).await;
+    wait_until("the entry is listed", async || site.store.has("entries", "entry-1")).await;
     let fork = site.store.fork().await.expect("a store");
-    site.add_gateway_on(fork.address(), Clock::runtime()).await.expect("a gateway");
-    site.settled().await;
+    site.add_gateway_with_store(fork.address(), Clock::runtime()).await.expect("a gateway");
+    site.wait_until_synced().await;
     (site, fork)
 }
 
@@ -55,7 +55,7 @@
         let site = one_gateway().await;
         site.store.set_rate(Some(SLOW_LINK));
         site.configure(&with_routes(2, MANY));
-        site.in_force(2).await;
+        site.wait_for_version(2).await;
         assert_eq!(status(&site, "/added-999/x").await, 200);
     });
 }
@@ -67,9 +67,9 @@
         site.store.set_fault(Fault::Stalled);
         site.configure(&with_routes(2, MANY));
         let calls = site.store.calls();
-        eventually("the configuration is asked for again", async || site.store.calls() > calls + 3).await;
+        wait_until("the configuration is asked for again", async || site.store.calls() > calls + 3).await;
         site.store.set_fault(Fault::None);
-        site.in_force(2).await;
+        site.wait_for_version(2).await;
     });
 }
 
@@ -78,7 +78,7 @@
     task::block_on(async {
         let site = one_gateway().await;
         site.configure(&with_routes(2, VERY_MANY));
-        site.in_force(2).await;
+        site.wait_for_version(2).await;
     });
 }
 
@@ -91,7 +91,7 @@
             site.store.put("entries", &format!("other-{number:04}"), &json!({"address": NOBODY}));
         }
         site.add_gateway().await.expect("a gateway");
-        eventually("all entries are known", async || {
+        wait_until("all entries are known", async || {
             site.state(0).await["sharers"].as_u64() == Some(ENTRIES + 1)
         })
         .await;
@@ -104,7 +104,7 @@
         let (site, cut) = partitioned().await;
         cut.set_fault(Fault::Silent);
         site.configure(&with_routes(2, MANY));
-        eventually("the version is in force at both", async || {
+        wait_until("the version is in force at both", async || {
             site.state(1).await["version"].as_u64() == Some(2)
         })
         .await;
@@ -117,8 +117,8 @@
         let (mut site, cut) = partitioned().await;
         cut.set_fault(Fault::Silent);
         let endpoint = site.endpoints(Role::Plain).remove(0);
-        site.list(&endpoint, "draining");
-        eventually("both know that it leaves", async || {
+        site.register(&endpoint, "draining");
+        wait_until("both know that it leaves", async || {
             let state = site.state(1).await;
             let endpoints = state["endpoints"].as_array().cloned().unwrap_or_default();
             endpoints.iter().any(|known| known["id"] == **endpoint.id() && known["leaving"] == true)
@@ -142,11 +142,11 @@
         };
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
         socket.send_to(&newer.encode_to_vec(), site.gateways[0].peer()).await.expect("sent");
-        eventually("a newer one is known", async || site.state(0).await["behind"] == true).await;
-        let head = plain("GET", "/added-1/x", KEY, "r2");
-        let answer = caller::ask(site.address(), head, b"").await.expect("an answer");
+        wait_until("a newer one is known", async || site.state(0).await["behind"] == true).await;
+        let head = plain_request("GET", "/added-1/x", KEY, "r2");
+        let answer = caller::request(site.address(), head, b"").await.expect("an answer");
         assert_eq!(answer.head.status, 503);
-        assert!(answer.field("Retry-After").is_some());
+        assert!(answer.header("Retry-After").is_some());
         assert_eq!(status(&site, "/lookup/x").await, 200);
     });
 }
@@ -159,10 +159,11 @@
         let address = other.local_addr().expect("an address");
         site.store.put("entries", "other", &json!({"address": address.to_string()}));
         site.configure(&with_customers(1, CUSTOMERS));
-        site.add(Role::Plain).await.expect("an endpoint");
+        site.add_endpoint(Role::Plain).await.expect("an endpoint");
         site.add_gateway().await.expect("a gateway");
-        site.in_force(1).await;
-        let answer = caller::ask(site.address(), plain("GET", "/lookup/x", SMALL_KEY, "r1"), b"").await;
+        site.wait_for_version(1).await;
+        let answer =
+            caller::request(site.address(), plain_request("GET", "/lookup/x", SMALL_KEY, "r1"), b"").await;
         assert_eq!(answer.expect("an answer").head.status, 200);
         let mut bytes = vec![0; 65_536];
         loop {
--- a/crates/bench/tests/gateway.rs
+++ b/crates/bench/tests/gateway.rs
@@ -5,9 +5,9 @@
 use async_std::task;
 use serde_json::json;
 use tarragonhill_bench::platform::{
-    caller::{self, Answer, Caller, completion, plain},
-    endpoint::{EVENTS, Endpoint, Fault, Role},
-    site::{KEY, SMALL_KEY, Shape, Site, configuration, eventually, not_ready},
+    caller::{self, Caller, Response, completion_request, plain_request},
+    endpoint::{EVENT_COUNT, Endpoint, Fault, Role},
+    site::{KEY, SMALL_KEY, Shape, Site, configuration, wait_until, wait_until_not_ready},
     store,
 };
 use tarragonhill_core::{Clock, clock::Manual};
@@ -30,48 +30,48 @@
     Site::start(shape).await.expect("the site starts")
 }
 
-async fn ask(site: &Site, head: Request, body: &[u8]) -> Answer {
-    caller::ask(site.address(), head, body).await.expect("an answer")
+async fn request(site: &Site, head: Request, body: &[u8]) -> Response {
+    caller::request(site.address(), head, body).await.expect("an answer")
 }
 
 fn stream(id: &str) -> Request {
-    completion("/stream/x", KEY, id, PROMPT)
+    completion_request("/stream/x", KEY, id, PROMPT)
 }
 
 fn resumable(id: &str) -> Request {
-    completion("/resumable/x", KEY, id, PROMPT)
+    completion_request("/resumable/x", KEY, id, PROMPT)
 }
 
 fn submit(id: &str) -> Request {
-    plain("POST", "/submit/x?y=1", KEY, id)
+    plain_request("POST", "/submit/x?y=1", KEY, id)
 }
 
 fn lookup(id: &str) -> Request {
-    plain("GET", "/lookup/x", KEY, id)
+    plain_request("GET", "/lookup/x", KEY, id)
 }
 
-fn whole_ids() -> Vec<u32> {
-    (1..=EVENTS).collect()
+fn all_event_ids() -> Vec<u32> {
+    (1..=EVENT_COUNT).collect()
 }
 
-fn runs(endpoints: &[std::sync::Arc<Endpoint>]) -> usize {
-    endpoints.iter().map(|endpoint| endpoint.runs().len()).sum()
+fn executed(endpoints: &[std::sync::Arc<Endpoint>]) -> usize {
+    endpoints.iter().map(|endpoint| endpoint.executed().len()).sum()
 }
 
 #[test]
 fn a_stream_is_read_at_one_endpoint_and_made_at_another() {
     run(async {
         let site = site().await;
-        let answer = ask(&site, stream("r1"), b"prompt").await;
-        assert_eq!((answer.head.status, answer.whole), (200, true));
-        assert_eq!(answer.ids(), whole_ids());
+        let answer = request(&site, stream("r1"), b"prompt").await;
+        assert_eq!((answer.head.status, answer.is_complete), (200, true));
+        assert_eq!(answer.event_ids(), all_event_ids());
         assert!(
-            answer.field("Tarragonhill-Server-Signature").is_some_and(|stamp| stamp.starts_with("decode"))
+            answer.header("Tarragonhill-Server-Signature").is_some_and(|stamp| stamp.starts_with("decode"))
         );
-        assert_eq!(runs(&site.endpoints(Role::Prefill)), 1);
-        assert_eq!(runs(&site.endpoints(Role::Decode)), 1);
+        assert_eq!(executed(&site.endpoints(Role::Prefill)), 1);
+        assert_eq!(executed(&site.endpoints(Role::Decode)), 1);
         let decodes = site.endpoints(Role::Decode);
-        assert!(decodes.iter().all(|endpoint| endpoint.holds() == 0 && endpoint.released() == 0));
+        assert!(decodes.iter().all(|endpoint| endpoint.reservations() == 0 && endpoint.released() == 0));
     });
 }
 
@@ -94,9 +94,9 @@
         ] {
             head.fields.push(name, value);
         }
-        let answer = ask(&site, head, b"the body").await;
+        let answer = request(&site, head, b"the body").await;
         assert_eq!(answer.text(), "POST /submit/x?y=1 the body");
-        let arrival = site.endpoints(Role::Plain)[0].runs().remove(0);
+        let arrival = site.endpoints(Role::Plain)[0].executed().remove(0);
         let fields = &arrival.head.fields;
         assert_eq!(fields.get("Tarragonhill-Tenant"), Some("faculty"));
         assert_eq!(fields.count("Tarragonhill-Tenant"), 1);
@@ -129,10 +129,10 @@
         let mut bytes = head.encode();
         bytes.extend_from_slice(b"4;ext=1\r\nthe \r\n4\r\nbody\r\n0\r\nTrailer: x\r\n\r\n");
         connection.write(&bytes).await.expect("written");
-        let answer = connection.answer().await.expect("an answer");
+        let answer = connection.read_response().await.expect("an answer");
         assert_eq!(answer.text(), "POST /submit/x?y=1 the body");
         // The connection goes on behind it.
-        let answer = connection.ask(lookup("r2"), b"").await.expect("an answer");
+        let answer = connection.request(lookup("r2"), b"").await.expect("an answer");
         assert_eq!(answer.text(), "GET /lookup/x ");
     });
 }
@@ -141,9 +141,12 @@
 fn who_is_not_known_is_told_so() {
     run(async {
         let site = small().await;
-        assert_eq!(ask(&site, plain("GET", "/nowhere/x", KEY, "r1"), b"").await.head.status, 404);
-        assert_eq!(ask(&site, plain("GET", "/lookup/x", "key-nobody", "r2"), b"").await.head.status, 401);
-        assert!(site.endpoints(Role::Plain)[0].arrivals().is_empty());
+        assert_eq!(request(&site, plain_request("GET", "/nowhere/x", KEY, "r1"), b"").await.head.status, 404);
+        assert_eq!(
+            request(&site, plain_request("GET", "/lookup/x", "key-nobody", "r2"), b"").await.head.status,
+            401
+        );
+        assert!(site.endpoints(Role::Plain)[0].received().is_empty());
     });
 }
 
@@ -154,10 +157,10 @@
     run(async {
         let mut site = Site::empty().await.expect("a store");
         site.add_gateway().await.expect("a gateway");
-        let answer = ask(&site, lookup("r1"), b"").await;
+        let answer = request(&site, lookup("r1"), b"").await;
         assert_eq!(answer.head.status, 503);
         // Told half a second, callers come back into the same outage and have no further repeat.
-        let wait = answer.field("Retry-After").and_then(|wait| wait.parse::<f64>().ok());
+        let wait = answer.header("Retry-After").and_then(|wait| wait.parse::<f64>().ok());
         assert!(wait.is_some_and(|wait| wait >= 2.0), "{wait:?}");
     });
 }
@@ -169,9 +172,9 @@
 fn a_caller_that_comes_before_the_first_configuration_is_served() {
     run(async {
         let mut site = Site::empty().await.expect("a store");
-        site.add(Role::Plain).await.expect("an endpoint");
-        site.add_gateway_by(Clock::Manual(Manual::default())).await.expect("a gateway");
-        let asking = task::spawn(caller::ask(site.address(), lookup("r1"), b""));
+        site.add_endpoint(Role::Plain).await.expect("an endpoint");
+        site.add_gateway_with_clock(Clock::Manual(Manual::default())).await.expect("a gateway");
+        let asking = task::spawn(caller::request(site.address(), lookup("r1"), b""));
         site.configure(&configuration(1));
         assert_eq!(asking.await.expect("an answer").head.status, 200);
     });
@@ -185,14 +188,14 @@
         let mut site = Site::start(Shape { gateways: 2, ..Shape::default() }).await.expect("the site starts");
         site.store.set_fault(store::Fault::Busy);
         site.restart(0).await.expect("a gateway");
-        eventually("it knows the configuration", async || site.state(0).await["version"].as_u64() == Some(1))
+        wait_until("it knows the configuration", async || site.state(0).await["version"].as_u64() == Some(1))
             .await;
-        assert_eq!(ask(&site, lookup("r1"), b"").await.head.status, 200);
-        assert_eq!(ask(&site, stream("r2"), b"prompt").await.ids(), whole_ids());
+        assert_eq!(request(&site, lookup("r1"), b"").await.head.status, 200);
+        assert_eq!(request(&site, stream("r2"), b"prompt").await.event_ids(), all_event_ids());
         // The store's own word goes on from there.
         site.store.set_fault(store::Fault::None);
         site.configure(&configuration(2));
-        site.in_force(2).await;
+        site.wait_for_version(2).await;
     });
 }
 
@@ -215,10 +218,10 @@
                  Authorization: Bearer {KEY}\r\n{fields}\r\n0\r\n\r\nPOST /submit/hidden HTTP/1.1\r\n\r\n"
             );
             connection.write(head.as_bytes()).await.expect("written");
-            assert_eq!(connection.answer().await.expect("an answer").head.status, 400, "{fields}");
-            assert!(connection.answer().await.is_err(), "{fields}");
+            assert_eq!(connection.read_response().await.expect("an answer").head.status, 400, "{fields}");
+            assert!(connection.read_response().await.is_err(), "{fields}");
         }
-        assert!(site.endpoints(Role::Plain)[0].arrivals().is_empty());
+        assert!(site.endpoints(Role::Plain)[0].received().is_empty());
     });
 }
 
@@ -226,11 +229,11 @@
 fn what_is_too_large_is_told_and_reaches_no_endpoint() {
     run(async {
         let site = small().await;
-        assert_eq!(ask(&site, submit("r1"), &[b'x'; 65_537]).await.head.status, 413);
+        assert_eq!(request(&site, submit("r1"), &[b'x'; 65_537]).await.head.status, 413);
         let mut head = lookup("r2");
         head.fields.push("X-Long", "x".repeat(17_000));
-        assert_eq!(ask(&site, head, b"").await.head.status, 431);
-        assert!(site.endpoints(Role::Plain)[0].arrivals().is_empty());
+        assert_eq!(request(&site, head, b"").await.head.status, 431);
+        assert!(site.endpoints(Role::Plain)[0].received().is_empty());
     });
 }
 
@@ -242,12 +245,13 @@
         let site = small().await;
         let mut connection = Caller::open(site.address()).await.expect("a connection");
         connection.send(stream("r1"), b"prompt").await.expect("sent");
-        let (head, _) = connection.first_part().await.expect("the first event");
+        let (head, _) = connection.read_first_part().await.expect("the first event");
         assert_eq!(head.status, 200);
         drop(connection);
         let engine = &site.endpoints(Role::Decode)[0];
-        eventually("the run has ended", async || engine.running() == 0 && engine.abandoned() == 1).await;
-        eventually("the gateway knows", async || {
+        wait_until("the stream ended", async || engine.active_streams() == 0 && engine.abandoned() == 1)
+            .await;
+        wait_until("the gateway knows", async || {
             let state = site.state(0).await;
             state["endpoints"].as_array().is_some_and(|all| all.iter().all(|one| one["running"] == 0))
         })
@@ -264,10 +268,10 @@
         let mut connection = Caller::open(site.address()).await.expect("a connection");
         connection.send(stream("r1"), b"prompt").await.expect("sent");
         let engine = &site.endpoints(Role::Decode)[0];
-        eventually("memory is reserved", async || engine.holds() == 1).await;
+        wait_until("memory is reserved", async || engine.reservations() == 1).await;
         drop(connection);
-        eventually("memory is given back", async || engine.holds() == 0 && engine.released() == 1).await;
-        assert!(engine.arrivals().is_empty());
+        wait_until("memory is freed", async || engine.reservations() == 0 && engine.released() == 1).await;
+        assert!(engine.received().is_empty());
     });
 }
 
@@ -280,9 +284,9 @@
         for engine in site.endpoints(Role::Decode) {
             engine.set_fault(Fault::Cut);
         }
-        let answer = ask(&site, stream("r1"), b"prompt").await;
-        assert_eq!((answer.head.status, answer.whole), (200, false));
-        assert_eq!(runs(&site.endpoints(Role::Decode)), 1);
+        let answer = request(&site, stream("r1"), b"prompt").await;
+        assert_eq!((answer.head.status, answer.is_complete), (200, false));
+        assert_eq!(executed(&site.endpoints(Role::Decode)), 1);
     });
 }
 
@@ -296,15 +300,15 @@
             for engine in site.endpoints(Role::Decode) {
                 engine.fail_next(fault, 1);
             }
-            let answer = ask(&site, resumable("r1"), b"prompt").await;
+            let answer = request(&site, resumable("r1"), b"prompt").await;
             // Both engines fail their first run, so the second run is cut as well; its events up to
             // there follow those of the first without a gap.
-            let ids = answer.ids();
+            let ids = answer.event_ids();
             assert_eq!(ids, (1..=ids.len() as u32).collect::<Vec<_>>(), "{fault}");
-            assert_eq!(runs(&site.endpoints(Role::Decode)), 2, "{fault}");
+            assert_eq!(executed(&site.endpoints(Role::Decode)), 2, "{fault}");
 
-            let answer = ask(&site, resumable("r2"), b"prompt").await;
-            assert_eq!((answer.whole, answer.ids()), (true, whole_ids()), "{fault}");
+            let answer = request(&site, resumable("r2"), b"prompt").await;
+            assert_eq!((answer.is_complete, answer.event_ids()), (true, all_event_ids()), "{fault}");
         });
     }
 }
@@ -319,16 +323,16 @@
         site.endpoints(Role::Decode)[0].fail_next(Fault::Silent, 1);
         let mut head = stream("r1");
         head.fields.set("Tarragonhill-Deadline-Ms", "60000");
-        let asking = task::spawn(caller::ask(site.address(), head, b"prompt"));
+        let asking = task::spawn(caller::request(site.address(), head, b"prompt"));
         let memory = async || {
             let state = site.state(0).await;
             let endpoints = state["endpoints"].as_array().cloned().unwrap_or_default();
             endpoints.iter().filter_map(|one| one["memory"].as_u64()).sum::<u64>()
         };
-        eventually("memory is taken", async || memory().await > 0).await;
-        eventually("the memory is free", async || memory().await == 0).await;
+        wait_until("memory is taken", async || memory().await > 0).await;
+        wait_until("the memory is free", async || memory().await == 0).await;
         let answer = asking.await.expect("an answer");
-        assert_eq!((answer.head.status, answer.whole), (200, false));
+        assert_eq!((answer.head.status, answer.is_complete), (200, false));
     });
 }
 
@@ -338,9 +342,9 @@
         let site = site().await;
         site.endpoints(Role::Decode)[0].set_fault(Fault::CutInEvent);
         for id in ["r1", "r2", "r3", "r4"] {
-            let answer = ask(&site, resumable(id), b"prompt").await;
-            assert_eq!((answer.head.status, answer.whole), (200, true), "{id}");
-            assert_eq!(answer.ids(), whole_ids(), "{id}");
+            let answer = request(&site, resumable(id), b"prompt").await;
+            assert_eq!((answer.head.status, answer.is_complete), (200, true), "{id}");
+            assert_eq!(answer.event_ids(), all_event_ids(), "{id}");
         }
     });
 }
@@ -354,11 +358,11 @@
             for endpoint in site.endpoints(Role::Plain) {
                 endpoint.set_fault(fault);
             }
-            let answer = ask(&site, submit("r1"), b"case").await;
+            let answer = request(&site, submit("r1"), b"case").await;
             assert_eq!(answer.head.status, 502, "{fault}");
-            assert_eq!(answer.field("Tarragonhill-Server-Signature"), None, "{fault}");
+            assert_eq!(answer.header("Tarragonhill-Server-Signature"), None, "{fault}");
             let arrivals: usize =
-                site.endpoints(Role::Plain).iter().map(|endpoint| endpoint.arrivals().len()).sum();
+                site.endpoints(Role::Plain).iter().map(|endpoint| endpoint.received().len()).sum();
             assert_eq!(arrivals, 1, "{fault}");
         });
     }
@@ -371,9 +375,9 @@
         let plains = site.endpoints(Role::Plain);
         plains[0].set_fault(Fault::Refuse);
         for id in ["r1", "r2", "r3"] {
-            assert_eq!(ask(&site, submit(id), b"case").await.head.status, 200);
+            assert_eq!(request(&site, submit(id), b"case").await.head.status, 200);
         }
-        assert_eq!((plains[0].runs().len(), plains[1].runs().len()), (0, 3));
+        assert_eq!((plains[0].executed().len(), plains[1].executed().len()), (0, 3));
     });
 }
 
@@ -384,10 +388,10 @@
         for endpoint in site.endpoints(Role::Plain) {
             endpoint.set_fault(Fault::Refuse);
         }
-        let answer = ask(&site, submit("r1"), b"case").await;
+        let answer = request(&site, submit("r1"), b"case").await;
         assert_eq!(answer.head.status, 503);
-        assert!(answer.field("Retry-After").is_some());
-        assert_eq!(runs(&site.endpoints(Role::Plain)), 0);
+        assert!(answer.header("Retry-After").is_some());
+        assert_eq!(executed(&site.endpoints(Role::Plain)), 0);
     });
 }
 
@@ -396,9 +400,9 @@
     run(async {
         let site = small().await;
         site.endpoints(Role::Plain)[0].set_fault(Fault::Error);
-        let answer = ask(&site, submit("r1"), b"case").await;
+        let answer = request(&site, submit("r1"), b"case").await;
         assert_eq!((answer.head.status, answer.text().as_str()), (500, "failed"));
-        assert!(answer.field("Tarragonhill-Server-Signature").is_some());
+        assert!(answer.header("Tarragonhill-Server-Signature").is_some());
     });
 }
 
@@ -424,8 +428,8 @@
             let mut connection = Caller::open(site.address()).await.expect("a connection");
             for number in 0..6 {
                 let target = format!("/lookup/{number}");
-                let head = plain("GET", &target, KEY, &format!("r{number}"));
-                let answer = connection.ask(head, b"").await.expect("an answer");
+                let head = plain_request("GET", &target, KEY, &format!("r{number}"));
+                let answer = connection.request(head, b"").await.expect("an answer");
                 assert_eq!((answer.head.status, answer.text()), (200, format!("GET {target} ")), "{fault}");
             }
         });
@@ -440,8 +444,8 @@
         site.endpoints(Role::Decode)[0].kill().await;
         site.endpoints(Role::Prefill)[0].kill().await;
         for id in ["r1", "r2", "r3", "r4"] {
-            assert_eq!(ask(&site, submit(id), b"case").await.head.status, 200);
-            assert_eq!(ask(&site, stream(id), b"prompt").await.ids(), whole_ids());
+            assert_eq!(request(&site, submit(id), b"case").await.head.status, 200);
+            assert_eq!(request(&site, stream(id), b"prompt").await.event_ids(), all_event_ids());
         }
     });
 }
@@ -455,8 +459,8 @@
         for endpoint in site.endpoints(Role::Prefill) {
             endpoint.kill().await;
         }
-        let answer = ask(&site, stream("r1"), b"prompt").await;
-        assert_eq!((answer.head.status, answer.ids()), (200, whole_ids()));
+        let answer = request(&site, stream("r1"), b"prompt").await;
+        assert_eq!((answer.head.status, answer.event_ids()), (200, all_event_ids()));
     });
 }
 
@@ -467,16 +471,16 @@
         let old = site.endpoints(Role::Decode)[0].clone();
         let address = old.address();
         old.kill().await;
-        let new = site.add_at(Role::Decode, address).await.expect("an endpoint");
-        eventually("the newcomer is known", async || {
+        let new = site.add_endpoint_at(Role::Decode, address).await.expect("an endpoint");
+        wait_until("the newcomer is known", async || {
             let state = site.state(0).await;
             let endpoints = state["endpoints"].as_array().cloned().unwrap_or_default();
             let names: Vec<_> = endpoints.iter().filter_map(|one| one["id"].as_str()).collect();
             names.contains(&&**new.id()) && !names.contains(&&**old.id())
         })
         .await;
-        assert_eq!(ask(&site, stream("r1"), b"prompt").await.ids(), whole_ids());
-        assert_eq!(new.runs().len(), 1);
+        assert_eq!(request(&site, stream("r1"), b"prompt").await.event_ids(), all_event_ids());
+        assert_eq!(new.executed().len(), 1);
     });
 }
 
@@ -491,14 +495,14 @@
             "slots": 48, "state": "ready", "cold_remaining_ms": 0, "seq": 1, "born": 99,
         });
         site.store.put("servers", "stranger", &stranger);
-        eventually("the stranger is known", async || {
+        wait_until("the stranger is known", async || {
             site.state(0).await["endpoints"].as_array().is_some_and(|all| all.len() == 7)
         })
         .await;
         for number in 0..6 {
-            let answer = ask(&site, lookup(&format!("r{number}")), b"").await;
+            let answer = request(&site, lookup(&format!("r{number}")), b"").await;
             assert_eq!((answer.head.status, answer.text().as_str()), (200, "GET /lookup/x "));
-            let answer = ask(&site, submit(&format!("s{number}")), b"").await;
+            let answer = request(&site, submit(&format!("s{number}")), b"").await;
             assert!([200, 502].contains(&answer.head.status), "{}", answer.head.status);
         }
     });
@@ -509,18 +513,18 @@
     run(async {
         let mut site = site().await;
         let leaving = site.endpoints(Role::Plain)[0].clone();
-        site.list(&leaving, "draining");
-        eventually("the gateway knows", async || {
+        site.register(&leaving, "draining");
+        wait_until("the gateway knows", async || {
             let state = site.state(0).await;
             let endpoints = state["endpoints"].as_array().cloned().unwrap_or_default();
             endpoints.iter().any(|one| one["leaving"] == true)
         })
         .await;
-        let before = leaving.arrivals().len();
+        let before = leaving.received().len();
         for id in ["r1", "r2", "r3"] {
-            assert_eq!(ask(&site, submit(id), b"case").await.head.status, 200);
+            assert_eq!(request(&site, submit(id), b"case").await.head.status, 200);
         }
-        assert_eq!(leaving.arrivals().len(), before);
+        assert_eq!(leaving.received().len(), before);
     });
 }
 
@@ -528,13 +532,13 @@
 fn rows_that_nobody_can_read_change_nothing() {
     run(async {
         let site = small().await;
-        site.store.put_garbage("servers", "broken-1");
+        site.store.put_invalid("servers", "broken-1");
         site.store.put("servers", "broken-2", &json!({"service": "filing", "address": 7, "state": "ready"}));
         site.store.put("servers", "broken-3", &json!({"service": "filing", "state": "asleep"}));
-        site.store.put_garbage("op", "config");
+        site.store.put_invalid("op", "config");
         site.configure(&configuration(7));
-        site.in_force(7).await;
-        assert_eq!(ask(&site, submit("r1"), b"case").await.head.status, 200);
+        site.wait_for_version(7).await;
+        assert_eq!(request(&site, submit("r1"), b"case").await.head.status, 200);
         assert_eq!(site.state(0).await["endpoints"].as_array().map(Vec::len), Some(3));
     });
 }
@@ -544,12 +548,12 @@
     run(async {
         let site = small().await;
         let mut connection = Caller::open(site.address()).await.expect("a connection");
-        assert_eq!(connection.ask(lookup("r1"), b"").await.expect("an answer").head.status, 200);
+        assert_eq!(connection.request(lookup("r1"), b"").await.expect("an answer").head.status, 200);
         let mut next = configuration(2);
         next["tenants"][0]["api_keys"] = json!(["key-other"]);
         site.configure(&next);
-        site.in_force(2).await;
-        assert_eq!(connection.ask(lookup("r2"), b"").await.expect("an answer").head.status, 401);
+        site.wait_for_version(2).await;
+        assert_eq!(connection.request(lookup("r2"), b"").await.expect("an answer").head.status, 401);
     });
 }
 
@@ -561,12 +565,16 @@
             let site = small().await;
             site.store.set_fault(fault);
             for id in ["r1", "r2", "r3"] {
-                assert_eq!(ask(&site, submit(id), b"case").await.head.status, 200, "{fault}");
-                assert_eq!(ask(&site, stream(id), b"prompt").await.ids(), whole_ids(), "{fault}");
+                assert_eq!(request(&site, submit(id), b"case").await.head.status, 200, "{fault}");
+                assert_eq!(
+                    request(&site, stream(id), b"prompt").await.event_ids(),
+                    all_event_ids(),
+                    "{fault}"
+                );
             }
             site.store.set_fault(store::Fault::None);
             site.configure(&configuration(9));
-            site.in_force(9).await;
+            site.wait_for_version(9).await;
         });
     }
 }
@@ -575,11 +583,11 @@
 fn a_store_that_forgot_its_history_is_read_anew() {
     run(async {
         let mut site = small().await;
-        site.store.forget();
-        site.add(Role::Plain).await.expect("an endpoint");
+        site.store.discard_history();
+        site.add_endpoint(Role::Plain).await.expect("an endpoint");
         site.configure(&configuration(3));
-        site.in_force(3).await;
-        site.settled().await;
+        site.wait_for_version(3).await;
+        site.wait_until_synced().await;
     });
 }
 
@@ -587,10 +595,10 @@
 fn a_customer_over_its_rate_is_told_when_to_come_back() {
     run(async {
         let site = small().await;
-        let small = |id: &str| plain("POST", "/submit/x", SMALL_KEY, id);
+        let small = |id: &str| plain_request("POST", "/submit/x", SMALL_KEY, id);
         let mut refused = None;
         for number in 0..30 {
-            let answer = ask(&site, small(&format!("r{number}")), b"case").await;
+            let answer = request(&site, small(&format!("r{number}")), b"case").await;
             if answer.head.status == 429 {
                 refused = Some(answer);
                 break;
@@ -598,9 +606,9 @@
             assert_eq!(answer.head.status, 200);
         }
         let refused = refused.expect("30 requests of 200 tokens are more than a burst of 4,000");
-        let wait: f64 = refused.field("Retry-After").and_then(|wait| wait.parse().ok()).expect("a number");
+        let wait: f64 = refused.header("Retry-After").and_then(|wait| wait.parse().ok()).expect("a number");
         assert!(wait > 0.0 && wait <= 6.0, "{wait}");
-        assert_eq!(ask(&site, submit("other"), b"case").await.head.status, 200);
+        assert_eq!(request(&site, submit("other"), b"case").await.head.status, 200);
     });
 }
 
@@ -609,20 +617,23 @@
 fn what_is_spent_at_one_entry_is_spent_at_all() {
     run(async {
         let site = Site::start(Shape { gateways: 2, ..Shape::default() }).await.expect("the site starts");
-        let small = |id: String| plain("POST", "/submit/x", SMALL_KEY, &id);
+        let small = |id: String| plain_request("POST", "/submit/x", SMALL_KEY, &id);
         let first = site.gateways[0].address();
         let mut served = 0;
-        while caller::ask(first, small(format!("a{served}")), b"").await.expect("an answer").head.status
+        while caller::request(first, small(format!("a{served}")), b"").await.expect("an answer").head.status
             == 200
         {
             served += 1;
         }
-        eventually("the other entry knows", async || {
+        wait_until("the other entry knows", async || {
             site.state(1).await["left"]["small"].as_i64().is_some_and(|left| left < 200)
         })
         .await;
         let second = site.gateways[1].address();
-        assert_eq!(caller::ask(second, small("b".into()), b"").await.expect("an answer").head.status, 429);
+        assert_eq!(
+            caller::request(second, small("b".into()), b"").await.expect("an answer").head.status,
+            429
+        );
     });
 }
 
@@ -634,21 +645,21 @@
         let mut site = small().await;
         let address = site.address();
         let mut kept = Caller::open(address).await.expect("a connection");
-        assert_eq!(kept.ask(lookup("r1"), b"").await.expect("an answer").head.status, 200);
-        let streaming = task::spawn(caller::ask(address, stream("r2"), b"prompt"));
+        assert_eq!(kept.request(lookup("r1"), b"").await.expect("an answer").head.status, 200);
+        let streaming = task::spawn(caller::request(address, stream("r2"), b"prompt"));
         let engine = site.endpoints(Role::Decode)[0].clone();
-        eventually("the stream runs", async || engine.running() == 1).await;
+        wait_until("the stream runs", async || engine.active_streams() == 1).await;
         let gateway = site.gateways.remove(0);
         let admin = gateway.admin();
         let stopping = task::spawn(gateway.shutdown());
-        not_ready(admin).await;
-        let answer = kept.ask(lookup("r3"), b"").await.expect("an answer");
-        assert_eq!((answer.head.status, answer.field("Connection")), (200, Some("close")));
-        assert!(kept.answer().await.is_err());
+        wait_until_not_ready(admin).await;
+        let answer = kept.request(lookup("r3"), b"").await.expect("an answer");
+        assert_eq!((answer.head.status, answer.header("Connection")), (200, Some("close")));
+        assert!(kept.read_response().await.is_err());
         let answer = streaming.await.expect("an answer");
-        assert_eq!((answer.whole, answer.ids()), (true, whole_ids()));
+        assert_eq!((answer.is_complete, answer.event_ids()), (true, all_event_ids()));
         stopping.await;
-        assert!(caller::ask(address, lookup("r4"), b"").await.is_err());
+        assert!(caller::request(address, lookup("r4"), b"").await.is_err());
     });
 }
 
@@ -658,13 +669,13 @@
         let site = small().await;
         let address = site.address();
         let callers: Vec<_> = (0..12)
-            .map(|number| task::spawn(caller::ask(address, stream(&format!("r{number}")), b"prompt")))
+            .map(|number| task::spawn(caller::request(address, stream(&format!("r{number}")), b"prompt")))
             .collect();
         for caller in callers {
             let answer = caller.await.expect("an answer");
-            assert_eq!((answer.whole, answer.ids()), (true, whole_ids()));
+            assert_eq!((answer.is_complete, answer.event_ids()), (true, all_event_ids()));
         }
-        assert_eq!(site.endpoints(Role::Decode)[0].holds(), 0);
+        assert_eq!(site.endpoints(Role::Decode)[0].reservations(), 0);
     });
 }
 
@@ -678,10 +689,10 @@
         let engines = site.endpoints(Role::Prefill);
         let ordered = || engines.iter().filter(|engine| !engine.orders().is_empty()).count();
         let mut asked = 0;
-        eventually("two engines are moved", async || {
+        wait_until("two engines are moved", async || {
             asked += 1;
-            let answer = ask(&site, stream(&format!("r{asked}")), b"prompt").await;
-            assert_eq!((answer.whole, answer.ids()), (true, whole_ids()));
+            let answer = request(&site, stream(&format!("r{asked}")), b"prompt").await;
+            assert_eq!((answer.is_complete, answer.event_ids()), (true, all_event_ids()));
             ordered() >= 2
         })
         .await;
@@ -690,9 +701,9 @@
         assert!(orders.iter().all(|(holder, _)| holder == "entry-1"), "{orders:?}");
         assert!(orders.windows(2).all(|pair| pair[0].1 < pair[1].1), "{orders:?}");
         for engine in engines.iter().filter(|engine| !engine.orders().is_empty()) {
-            site.list(engine, "ready");
+            site.register(engine, "ready");
         }
-        assert_eq!(ask(&site, stream("last"), b"prompt").await.ids(), whole_ids());
+        assert_eq!(request(&site, stream("last"), b"prompt").await.event_ids(), all_event_ids());
     });
 }
 
@@ -700,10 +711,10 @@
 fn the_admin_address_serves_metrics() {
     run(async {
         let site = small().await;
-        assert_eq!(ask(&site, submit("r1"), b"case").await.head.status, 200);
-        assert_eq!(ask(&site, plain("GET", "/nowhere/x", KEY, "r2"), b"").await.head.status, 404);
-        let head = plain("GET", "/metrics", KEY, "q");
-        let text = caller::ask(site.gateways[0].admin(), head, b"").await.expect("an answer").text();
+        assert_eq!(request(&site, submit("r1"), b"case").await.head.status, 200);
+        assert_eq!(request(&site, plain_request("GET", "/nowhere/x", KEY, "r2"), b"").await.head.status, 404);
+        let head = plain_request("GET", "/metrics", KEY, "q");
+        let text = caller::request(site.gateways[0].admin(), head, b"").await.expect("an answer").text();
         for line in [
             "gateway_requests_total{kind=\"non_idempotent\",status=\"200\"} 1",
             "gateway_refusals_total{code=\"not_found\"} 1",
@@ -721,16 +732,16 @@
 fn the_guide_names_every_metric() {
     run(async {
         let site = small().await;
-        assert_eq!(ask(&site, submit("r1"), b"case").await.head.status, 200);
-        assert_eq!(ask(&site, stream("r2"), b"prompt").await.ids(), whole_ids());
-        assert_eq!(ask(&site, plain("GET", "/nowhere/x", KEY, "r3"), b"").await.head.status, 404);
+        assert_eq!(request(&site, submit("r1"), b"case").await.head.status, 200);
+        assert_eq!(request(&site, stream("r2"), b"prompt").await.event_ids(), all_event_ids());
+        assert_eq!(request(&site, plain_request("GET", "/nowhere/x", KEY, "r3"), b"").await.head.status, 404);
         site.store.set_fault(store::Fault::Busy);
         site.configure(&configuration(2));
         let metrics = async || {
-            let head = plain("GET", "/metrics", KEY, "q");
-            caller::ask(site.gateways[0].admin(), head, b"").await.expect("an answer").text()
+            let head = plain_request("GET", "/metrics", KEY, "q");
+            caller::request(site.gateways[0].admin(), head, b"").await.expect("an answer").text()
         };
-        eventually("the store is lost", async || metrics().await.contains("gateway_store_losses_total{"))
+        wait_until("the store is lost", async || metrics().await.contains("gateway_store_losses_total{"))
             .await;
         let text = metrics().await;
         let served: BTreeSet<&str> =
@@ -754,11 +765,11 @@
         let engines = site.endpoints(Role::Decode);
         engines[0].set_fault(Fault::Refuse);
         for number in 0..10 {
-            let answer = ask(&site, stream(&format!("r{number}")), b"prompt").await;
-            assert_eq!((answer.whole, answer.ids()), (true, whole_ids()));
+            let answer = request(&site, stream(&format!("r{number}")), b"prompt").await;
+            assert_eq!((answer.is_complete, answer.event_ids()), (true, all_event_ids()));
         }
-        assert!(engines[0].arrivals().len() <= 4, "{}", engines[0].arrivals().len());
-        assert_eq!(engines[1].runs().len(), 10);
+        assert!(engines[0].received().len() <= 4, "{}", engines[0].received().len());
+        assert_eq!(engines[1].executed().len(), 10);
     });
 }
 
@@ -771,8 +782,8 @@
         let site = site().await;
         site.endpoints(Role::Prefill)[0].set_fault(Fault::Refuse);
         for number in 0..12 {
-            let answer = ask(&site, stream(&format!("r{number}")), b"prompt").await;
-            assert_eq!((answer.whole, answer.ids()), (true, whole_ids()));
+            let answer = request(&site, stream(&format!("r{number}")), b"prompt").await;
+            assert_eq!((answer.is_complete, answer.event_ids()), (true, all_event_ids()));
         }
     });
 }
@@ -784,7 +795,7 @@
     run(async {
         let site = small().await;
         site.endpoints(Role::Plain)[0].set_fault(Fault::ResetAfterRun);
-        assert_eq!(ask(&site, lookup("r1"), b"").await.head.status, 502);
+        assert_eq!(request(&site, lookup("r1"), b"").await.head.status, 502);
     });
 }
 
@@ -800,7 +811,7 @@
             }
             let mut head = lookup("r1");
             head.fields.set("Tarragonhill-Deadline-Ms", "1500");
-            assert_eq!(ask(&site, head, b"").await.head.status, 504, "{order:?}");
+            assert_eq!(request(&site, head, b"").await.head.status, 504, "{order:?}");
         });
     }
 }
--- a/crates/bench/tests/refusals.rs
+++ b/crates/bench/tests/refusals.rs
@@ -12,9 +12,9 @@
 use serde_json::Value;
 use spdlog::{Logger, formatter::JsonFormatter, sink::WriteSink};
 use tarragonhill_bench::platform::{
-    caller::{self, completion, plain},
+    caller::{self, completion_request, plain_request},
     endpoint::{Fault, Role},
-    site::{KEY, SMALL_KEY, Shape, Site, eventually, not_ready},
+    site::{KEY, SMALL_KEY, Shape, Site, wait_until, wait_until_not_ready},
 };
 use tarragonhill_h1::head::Request;
 
@@ -75,9 +75,9 @@
 async fn check(site: &Site, log: &Log, cases: Vec<Case>) {
     for Case { head, expected: (code, status, not_run) } in cases {
         let id = head.fields.get("Tarragonhill-Request-Id").expect("an id").to_string();
-        let answer = caller::ask(site.address(), head, b"x").await.expect("an answer");
+        let answer = caller::request(site.address(), head, b"x").await.expect("an answer");
         assert_eq!(answer.head.status, status, "{code}");
-        eventually("the refusal is logged", async || log.refusals().contains_key(&id)).await;
+        wait_until("the refusal is logged", async || log.refusals().contains_key(&id)).await;
         assert_eq!(log.refusals()[&id], (code.to_string(), u64::from(status), not_run), "{id}");
     }
 }
@@ -93,23 +93,23 @@
     task::block_on(async {
         let mut empty = Site::empty().await.expect("a store");
         empty.add_gateway().await.expect("a gateway");
-        let early = plain("GET", "/lookup/x", KEY, "early");
+        let early = plain_request("GET", "/lookup/x", KEY, "early");
         check(&empty, &log, vec![case(early, "settings_unconfirmed", 503, true)]).await;
 
         let shape = Shape { gateways: 1, prefill: 1, decode: 1, plain: 1 };
         let site = Site::start(shape).await.expect("the site starts");
         let desk = site.endpoints(Role::Plain)[0].clone();
-        let submit = |id: &str| plain("POST", "/submit/x", KEY, id);
-        let stream = |id: &str, prompt| completion("/stream/x", KEY, id, prompt);
-        let mut large = plain("POST", "/submit/x", SMALL_KEY, "spends");
+        let submit = |id: &str| plain_request("POST", "/submit/x", KEY, id);
+        let stream = |id: &str, prompt| completion_request("/stream/x", KEY, id, prompt);
+        let mut large = plain_request("POST", "/submit/x", SMALL_KEY, "spends");
         large.fields.set("Tarragonhill-Token-Counts", "800,0");
-        let spent = caller::ask(site.address(), large, b"x").await.expect("an answer");
+        let spent = caller::request(site.address(), large, b"x").await.expect("an answer");
         assert_eq!(spent.head.status, 200);
-        let mut over = plain("POST", "/submit/x", SMALL_KEY, "over");
+        let mut over = plain_request("POST", "/submit/x", SMALL_KEY, "over");
         over.fields.set("Tarragonhill-Token-Counts", "3900,0");
         let cases = vec![
-            case(plain("GET", "/nowhere/x", KEY, "nowhere"), "not_found", 404, true),
-            case(plain("GET", "/lookup/x", "key-nobody", "nobody"), "bad_key", 401, true),
+            case(plain_request("GET", "/nowhere/x", KEY, "nowhere"), "not_found", 404, true),
+            case(plain_request("GET", "/lookup/x", "key-nobody", "nobody"), "bad_key", 401, true),
             case(over, "over_rate", 429, true),
         ];
         check(&site, &log, cases).await;
@@ -126,20 +126,24 @@
         check(&site, &log, vec![case(stream("broken", 5_000), "broken", 502, false)]).await;
 
         let away = Site::start(Shape { plain: 0, ..shape }).await.expect("the site starts");
-        check(&away, &log, vec![case(plain("GET", "/lookup/x", KEY, "gone"), "no_endpoint", 503, true)])
-            .await;
+        check(
+            &away,
+            &log,
+            vec![case(plain_request("GET", "/lookup/x", KEY, "gone"), "no_endpoint", 503, true)],
+        )
+        .await;
         // Told to stop, it sends streams elsewhere that could last longer than itself.
         let mut stopping = Site::start(shape).await.expect("the site starts");
         let (address, gateway) = (stopping.address(), stopping.gateways.remove(0));
         let admin = gateway.admin();
         let stopped = task::spawn(gateway.shutdown());
-        not_ready(admin).await;
+        wait_until_not_ready(admin).await;
         let mut long = stream("long", 5_000);
         long.fields.set("Tarragonhill-Token-Counts", "5000,100000");
         long.fields.set("Tarragonhill-Length-Hint", "100000");
-        let answer = caller::ask(address, long, b"x").await.expect("an answer");
+        let answer = caller::request(address, long, b"x").await.expect("an answer");
         assert_eq!(answer.head.status, 503);
-        eventually("the refusal is logged", async || log.refusals().contains_key("long")).await;
+        wait_until("the refusal is logged", async || log.refusals().contains_key("long")).await;
         assert_eq!(log.refusals()["long"], ("shutting_down".to_string(), 503, true));
         stopped.await;
     });
