--- a/crates/bench/src/platform.rs
+++ b/crates/bench/src/platform.rs
@@ -1,8 +1,8 @@
-//! Stand-ins that speak the protocols which the users' platform publishes: its store, its model
-//! endpoints and its plain services, with switches for their failures.
+//! A simulated platform for tests of the gateway: its store, model endpoints and plain services, with fault
+//! injection.
 //!
-//! They stand in for the platform in tests of the whole path and in `tarragonhill-bench platform`.
-//! They are kept as simple as the tests allow: an engine makes its events at even steps.
+//! The simulation speaks the platform's published protocols. It is kept simple: for example, engines send
+//! events at a fixed interval.
 
 pub mod caller;
 pub mod endpoint;
--- a/crates/bench/src/platform/caller.rs
+++ b/crates/bench/src/platform/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that sees every byte of its answers.
+//! A caller of the gateway that reads responses as they arrive, including incomplete ones.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -9,45 +9,44 @@
     head::{Request, Response as ResponseHead},
 };
 
-/// Longest time to make a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Largest head and body, bytes.
-const MAX_MESSAGE_BYTES: usize = 8 << 20;
+/// Maximum size of a response head.
+const MAX_HEAD_BYTES: usize = 8 << 20;
 
-/// A connection of a caller.
+/// A caller's connection.
 pub struct Caller {
     connection: Connection,
 }
 
-/// An answer, as far as it came.
+/// A response, as far as it was received.
 #[derive(Debug)]
 pub struct Response {
-    /// The head.
+    /// Status and headers.
     pub head: ResponseHead,
-    /// The body, without its framing.
+    /// Body, without transfer encoding.
     pub body: Vec<u8>,
-    /// Whether the body came to its proper end.
+    /// Whether the body was received up to its end.
     pub is_complete: bool,
 }
 
 impl Response {
-    /// The body as text.
+    /// Returns the body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The ids of a stream's events.
+    /// Returns the event ids of a stream.
     pub fn event_ids(&self) -> Vec<u32> {
         self.text().lines().filter_map(|line| line.strip_prefix("id: ")?.parse().ok()).collect()
     }
 
-    /// A field of the head.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.fields.get(name)
     }
 }
 
-/// A plain request with a key.
+/// Creates a request to a plain service, without a body.
 pub fn plain_request(method: &str, target: &str, key: &str, id: &str) -> Request {
     let mut head = Request::new(method, target);
     head.fields.push("Host", "a.example");
@@ -57,7 +56,7 @@
     head
 }
 
-/// A completion of some prompt tokens with a key.
+/// Creates a completion request with `prompt` prompt tokens.
 pub fn completion_request(target: &str, key: &str, id: &str, prompt: u64) -> Request {
     let mut head = plain_request("POST", target, key, id);
     head.fields.push("Tarragonhill-Model", "m");
@@ -83,14 +82,14 @@
         self.connection.write(&bytes).await
     }
 
-    /// Sends bytes as they are.
+    /// Sends raw bytes.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.connection.write(bytes).await
     }
 
-    /// Reads the next answer as far as it comes.
+    /// Reads the next response until its end or the end of the connection.
     pub async fn read_response(&mut self) -> Result<Response, Error> {
-        let head = self.connection.response(MAX_MESSAGE_BYTES).await?;
+        let head = self.connection.response(MAX_HEAD_BYTES).await?;
         let framing = head.framing("GET").unwrap_or(Framing::Empty);
         let mut decoder = Decoder::new(framing);
         let mut body = Vec::new();
@@ -104,22 +103,22 @@
         Ok(Response { head, body, is_complete })
     }
 
-    /// Reads the head of the next answer and the first part of its body.
+    /// Reads the head of the next response and the first part of its body.
     pub async fn read_first_part(&mut self) -> Result<(ResponseHead, Option<Bytes>), Error> {
-        let head = self.connection.response(MAX_MESSAGE_BYTES).await?;
+        let head = self.connection.response(MAX_HEAD_BYTES).await?;
         let mut decoder = Decoder::new(head.framing("GET").unwrap_or(Framing::Empty));
         let part = self.connection.part(&mut decoder).await?;
         Ok((head, part))
     }
 
-    /// Sends a request and reads its answer.
+    /// Sends a request and reads its response.
     pub async fn request(&mut self, head: Request, body: &[u8]) -> Result<Response, Error> {
         self.send(head, body).await?;
         self.read_response().await
     }
 }
 
-/// Sends one request on a connection of its own.
+/// Sends a request over a new connection and reads its response.
 pub async fn request(address: SocketAddr, head: Request, body: &[u8]) -> Result<Response, Error> {
     Caller::open(address).await?.request(head, body).await
 }
--- a/crates/bench/src/platform/endpoint.rs
+++ b/crates/bench/src/platform/endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in of one endpoint: a model engine of either stage, or a plain service.
+//! A simulated endpoint: a model engine for prefill or decode, or a plain service.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -22,66 +22,66 @@
 use super::server::{Action, Server};
 use crate::sim::lock;
 
-/// Time between two events of a stream: short, so that tests are.
+/// Time between two events of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a late refusal takes: longer than a gateway waits before it asks a second endpoint.
+/// Delay of [`Fault::RefuseLate`]; longer than the hedging delay of the gateway.
 const LATE_REFUSAL_DELAY: Duration = Duration::from_millis(700);
-/// Events of a stream.
+/// Number of events in a complete stream.
 pub const EVENT_COUNT: u32 = 20;
 
-/// What an endpoint is.
+/// Role of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Role {
-    /// Reads prompts.
+    /// An engine for prefill.
     Prefill,
-    /// Makes tokens.
+    /// An engine for decode.
     Decode,
-    /// Answers whole.
+    /// A plain service.
     Plain,
 }
 
-/// How an endpoint fails.
+/// A fault of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Display, EnumIter)]
 #[strum(serialize_all = "snake_case")]
 pub enum Fault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
-    /// Turns requests away and says that it did not run them.
+    /// Responds with status 503 and reports that the request was not executed.
     Refuse,
-    /// The same, but only after a while.
+    /// Same as `Refuse`, after a delay.
     RefuseLate,
-    /// Answers 503 and says nothing of whether it ran them.
+    /// Responds with status 503 and does not report whether the request was executed.
     Busy,
-    /// Answers 500, signed: its own failure.
+    /// Responds with status 500 and a valid signature.
     Error,
-    /// Runs them and resets the connection.
+    /// Executes the request and resets the connection.
     ResetAfterRun,
-    /// Runs them and never answers.
+    /// Executes the request and never responds.
     Hang,
-    /// Breaks off in the middle of the answer.
+    /// Ends the connection in the middle of the response.
     Cut,
-    /// Ends the answer in the middle of a stream without its last chunk, inside an event.
+    /// Closes the connection in the middle of an event, without the last chunk.
     CutInEvent,
-    /// Falls silent in the middle of a stream.
+    /// Stops sending in the middle of a stream and keeps the connection open.
     Silent,
-    /// Sends a second answer behind the first.
+    /// Sends an additional response after the first one.
     Extra,
-    /// Answers without a length and closes.
+    /// Sends a response without a length and closes the connection.
     Unframed,
-    /// Answers without a signature.
+    /// Responds without a signature.
     Unsigned,
-    /// Reports that another endpoint answers.
+    /// Reports that another endpoint listens at the address.
     Replaced,
 }
 
-/// A request that reached the endpoint.
+/// A request that the endpoint received.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// Its head.
+    /// Request line and headers.
     pub head: Request,
-    /// Its body.
+    /// Body, without transfer encoding.
     pub body: Bytes,
     /// Whether the endpoint executed it.
     pub was_executed: bool,
@@ -90,20 +90,20 @@
 #[derive(Debug, Default)]
 struct State {
     fault: Fault,
-    /// The fault passes after so many requests.
+    /// Number of requests that still fail; `None` is unlimited.
     remaining_faults: Option<u32>,
     received: Vec<ReceivedRequest>,
-    /// Tokens that may still be reserved.
+    /// Memory that is not reserved, in tokens.
     free_tokens: u64,
+    /// Tokens by reservation id.
     reservations: BTreeMap<String, u64>,
     released: u64,
-    /// Streams under way.
     active_streams: u32,
-    /// Streams whose callers left.
+    /// Streams that ended because the caller disconnected.
     abandoned: u32,
-    /// The stage that an order gave it, in place of its first.
+    /// Role assigned by the last order; replaces the initial role.
     assigned_role: Option<Role>,
-    /// Orders taken: holder and fencing token.
+    /// Accepted orders: holder and fencing token.
     orders: Vec<(String, u64)>,
     last_id: u64,
 }
@@ -124,7 +124,7 @@
     }
 }
 
-/// Handles of prefill results that wait to be taken, over all engines of a site.
+/// Handles of prefill results that no decode has fetched yet, for all engines of a site.
 pub type KvHandles = Arc<Mutex<BTreeSet<String>>>;
 
 /// A running endpoint.
@@ -136,7 +136,7 @@
 }
 
 impl Endpoint {
-    /// Starts an endpoint on an address, port 0 for any.
+    /// Starts an endpoint with `free_tokens` tokens of memory. Port 0 selects an unused port.
     pub async fn start(
         id: &str,
         role: Role,
@@ -156,80 +156,80 @@
                 head,
                 body,
             };
-            async move { exchange.answer(connection).await }
+            async move { exchange.handle(connection).await }
         });
         Ok(Self { id, role, server: server.await?, state })
     }
 
-    /// Its name.
+    /// Returns the endpoint id.
     pub fn id(&self) -> &Arc<str> {
         &self.id
     }
 
-    /// What it is now.
+    /// Returns the current role.
     pub fn role(&self) -> Role {
         lock(&self.state).assigned_role.unwrap_or(self.role)
     }
 
-    /// Orders that it took: holder and fencing token.
+    /// Returns the accepted orders, as holder and fencing token.
     pub fn orders(&self) -> Vec<(String, u64)> {
         lock(&self.state).orders.clone()
     }
 
-    /// Where it listens.
+    /// Returns the local address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Fails from now on.
+    /// Sets the fault of all further requests.
     pub fn set_fault(&self, fault: Fault) {
         let mut state = lock(&self.state);
         (state.fault, state.remaining_faults) = (fault, None);
     }
 
-    /// Fails the next requests.
+    /// Sets the fault of the next `count` requests.
     pub fn fail_next(&self, fault: Fault, count: u32) {
         let mut state = lock(&self.state);
         (state.fault, state.remaining_faults) = (fault, Some(count));
     }
 
-    /// Ends at once, with all connections.
+    /// Stops at once and closes all connections.
     pub async fn kill(&self) {
         self.server.kill().await;
     }
 
-    /// What reached it.
+    /// Returns the received requests, without control calls.
     pub fn received(&self) -> Vec<ReceivedRequest> {
         lock(&self.state).received.clone()
     }
 
-    /// Requests that were executed.
+    /// Returns the requests that were executed.
     pub fn executed(&self) -> Vec<ReceivedRequest> {
         self.received().into_iter().filter(|request| request.was_executed).collect()
     }
 
-    /// Streams under way.
+    /// Returns the number of streams in progress.
     pub fn active_streams(&self) -> u32 {
         lock(&self.state).active_streams
     }
 
-    /// Streams whose callers left.
+    /// Returns the number of streams that ended because the caller disconnected.
     pub fn abandoned(&self) -> u32 {
         lock(&self.state).abandoned
     }
 
-    /// Reservations that were neither used nor released.
+    /// Returns the number of reservations that were neither used nor released.
     pub fn reservations(&self) -> usize {
         lock(&self.state).reservations.len()
     }
 
-    /// Reservations and KV handles released.
+    /// Returns the number of release calls, for reservations and prefill results.
     pub fn released(&self) -> u64 {
         lock(&self.state).released
     }
 }
 
-/// One request on its way through the endpoint.
+/// A request and the state needed to respond to it.
 struct Exchange {
     id: Arc<str>,
     role: Role,
@@ -240,18 +240,18 @@
 }
 
 impl Exchange {
-    async fn answer(self, connection: Connection) -> (Connection, Action) {
+    async fn handle(self, connection: Connection) -> (Connection, Action) {
         let expected = self.head.fields.get("Tarragonhill-Expected-Instance");
-        let is_other = lock(&self.state).fault == Fault::Replaced;
-        if is_other || expected.is_some_and(|expected| expected != &*self.id) {
-            let instance = if is_other { "another" } else { &*self.id };
+        let is_replaced = lock(&self.state).fault == Fault::Replaced;
+        if is_replaced || expected.is_some_and(|expected| expected != &*self.id) {
+            let instance = if is_replaced { "another" } else { &*self.id };
             let head = self.head(421, false);
             let mut head = head;
             head.fields.push("Tarragonhill-Instance-Id", instance);
             return send(connection, head, b"", Action::Keep).await;
         }
         match (self.head.method.as_str(), self.head.path()) {
-            ("POST", "/v1/hold-take") => self.hold(connection).await,
+            ("POST", "/v1/hold-take") => self.reserve(connection).await,
             ("DELETE", path) if path.starts_with("/v1/hold-drop/") || path.starts_with("/v1/kv-handle/") => {
                 self.release(connection).await
             }
@@ -263,31 +263,31 @@
                 };
                 self.json(connection, 200, &report).await
             }
-            ("POST", "/v1/order") => self.order(connection).await,
+            ("POST", "/v1/order") => self.change_role(connection).await,
             ("GET", "/health") => self.json(connection, 200, &json!({})).await,
-            _ => self.work(connection).await,
+            _ => self.execute(connection).await,
         }
     }
 
-    async fn hold(self, connection: Connection) -> (Connection, Action) {
-        let wanted: Value = serde_json::from_slice(&self.body).unwrap_or_default();
-        let tokens = wanted["tokens"].as_u64().unwrap_or(u64::MAX);
+    async fn reserve(self, connection: Connection) -> (Connection, Action) {
+        let reservation: Value = serde_json::from_slice(&self.body).unwrap_or_default();
+        let tokens = reservation["tokens"].as_u64().unwrap_or(u64::MAX);
         let granted = {
             let mut state = lock(&self.state);
             (state.free_tokens >= tokens).then(|| {
                 state.free_tokens -= tokens;
-                let name = state.next_id("h");
-                state.reservations.insert(name.clone(), tokens);
-                name
+                let id = state.next_id("h");
+                state.reservations.insert(id.clone(), tokens);
+                id
             })
         };
         match granted {
-            Some(name) => self.json(connection, 200, &json!({"hold": name})).await,
+            Some(id) => self.json(connection, 200, &json!({"hold": id})).await,
             None => self.refuse(connection).await,
         }
     }
 
-    async fn order(self, connection: Connection) -> (Connection, Action) {
+    async fn change_role(self, connection: Connection) -> (Connection, Action) {
         let order: Value = serde_json::from_slice(&self.body).unwrap_or_default();
         let stage = match order["stage"].as_str() {
             Some("prefill") => Some(Role::Prefill),
@@ -312,19 +312,19 @@
     }
 
     async fn release(self, connection: Connection) -> (Connection, Action) {
-        let name = self.head.path().rsplit('/').next().unwrap_or_default().to_owned();
+        let id = self.head.path().rsplit('/').next().unwrap_or_default().to_owned();
         {
             let mut state = lock(&self.state);
             state.released += 1;
-            if let Some(tokens) = state.reservations.remove(&name) {
+            if let Some(tokens) = state.reservations.remove(&id) {
                 state.free_tokens += tokens;
             }
         }
-        lock(&self.kv_handles).remove(&name);
+        lock(&self.kv_handles).remove(&id);
         self.json(connection, 200, &json!({})).await
     }
 
-    async fn work(self, connection: Connection) -> (Connection, Action) {
+    async fn execute(self, connection: Connection) -> (Connection, Action) {
         let fault = lock(&self.state).take_fault();
         match fault {
             Fault::Refuse | Fault::RefuseLate => {
@@ -356,37 +356,37 @@
             return (connection, Action::Reset);
         }
         if fault == Fault::Hang {
-            return hang(connection).await;
+            return wait_for_close(connection).await;
         }
-        let name = format!("{}-{}", self.id, lock(&self.state).next_id("r"));
-        lock(&self.kv_handles).insert(name.clone());
+        let handle = format!("{}-{}", self.id, lock(&self.state).next_id("r"));
+        lock(&self.kv_handles).insert(handle.clone());
         task::sleep(EVENT_INTERVAL).await;
-        self.json(connection, 200, &json!({"kv_handle": name, "tokens": 1, "version": 1})).await
+        self.json(connection, 200, &json!({"kv_handle": handle, "tokens": 1, "version": 1})).await
     }
 
     async fn decode(self, connection: Connection, fault: Fault) -> (Connection, Action) {
         if let Some(source) = self.head.fields.get("Tarragonhill-Kv-Source") {
-            let name = source.rsplit('/').next().unwrap_or_default();
-            if !lock(&self.kv_handles).remove(name) {
+            let handle = source.rsplit('/').next().unwrap_or_default();
+            if !lock(&self.kv_handles).remove(handle) {
                 self.record(false);
                 return self.refuse(connection).await;
             }
         }
         let hold = self.head.fields.get("Tarragonhill-Kv-Hold").map(str::to_owned);
-        let held = hold.as_ref().and_then(|hold| lock(&self.state).reservations.remove(hold));
+        let reserved = hold.as_ref().and_then(|hold| lock(&self.state).reservations.remove(hold));
         self.record(true);
         lock(&self.state).active_streams += 1;
-        let ended = self.stream(connection, fault).await;
+        let result = self.stream(connection, fault).await;
         let mut state = lock(&self.state);
         state.active_streams -= 1;
-        state.free_tokens += held.unwrap_or(0);
-        ended
+        state.free_tokens += reserved.unwrap_or(0);
+        result
     }
 
     async fn stream(&self, mut connection: Connection, fault: Fault) -> (Connection, Action) {
         match fault {
             Fault::ResetAfterRun => return (connection, Action::Reset),
-            Fault::Hang => return hang(connection).await,
+            Fault::Hang => return wait_for_close(connection).await,
             Fault::Error => return send(connection, self.head(500, true), b"failed", Action::Keep).await,
             _ => {}
         }
@@ -396,23 +396,23 @@
         if connection.write(&head.encode()).await.is_err() {
             return (connection, Action::Close);
         }
-        let last = self.head.fields.get("Last-Event-Id").and_then(|id| id.parse().ok()).unwrap_or(0);
-        for id in last + 1..=EVENT_COUNT {
+        let last_id = self.head.fields.get("Last-Event-Id").and_then(|id| id.parse().ok()).unwrap_or(0);
+        for id in last_id + 1..=EVENT_COUNT {
             let event = format!("id: {id}\ndata: token-{id}\n\n");
             let is_middle = id == EVENT_COUNT / 2;
             if is_middle && fault == Fault::Cut {
                 return (connection, Action::Reset);
             }
             if is_middle && fault == Fault::Silent {
-                return hang(connection).await;
+                return wait_for_close(connection).await;
             }
             if is_middle && fault == Fault::CutInEvent {
                 let _ = connection.write(&chunk(&event.as_bytes()[..event.len() / 2])).await;
                 return (connection, Action::Close);
             }
-            let mut left = self.left(&mut connection).await;
-            left |= connection.write(&chunk(event.as_bytes())).await.is_err();
-            if left {
+            let mut is_disconnected = self.wait_for_disconnect(&mut connection).await;
+            is_disconnected |= connection.write(&chunk(event.as_bytes())).await.is_err();
+            if is_disconnected {
                 lock(&self.state).abandoned += 1;
                 return (connection, Action::Close);
             }
@@ -421,28 +421,28 @@
         (connection, Action::Keep)
     }
 
-    /// Waits for one step; true if the caller closes its connection meanwhile.
-    async fn left(&self, connection: &mut Connection) -> bool {
-        let step = async {
+    /// Waits for one event interval; returns whether the caller disconnects meanwhile.
+    async fn wait_for_disconnect(&self, connection: &mut Connection) -> bool {
+        let interval = async {
             task::sleep(EVENT_INTERVAL).await;
             false
         };
         let closed = async { !matches!(connection.fill().await, Ok(read) if read > 0) };
-        future::or(step, closed).await
+        future::or(interval, closed).await
     }
 
     async fn plain(self, connection: Connection, fault: Fault) -> (Connection, Action) {
         self.record(true);
         let body =
             format!("{} {} {}", self.head.method, self.head.target, String::from_utf8_lossy(&self.body));
-        let good = self.head(200, fault != Fault::Unsigned);
+        let success_head = self.head(200, fault != Fault::Unsigned);
         match fault {
             Fault::ResetAfterRun => (connection, Action::Reset),
-            Fault::Hang => hang(connection).await,
+            Fault::Hang => wait_for_close(connection).await,
             Fault::Error => send(connection, self.head(500, true), b"failed", Action::Keep).await,
             Fault::Cut | Fault::CutInEvent => {
                 let mut connection = connection;
-                let mut head = good;
+                let mut head = success_head;
                 head.fields.push("Content-Length", body.len().to_string());
                 let _ = connection.write(&head.encode()).await;
                 let _ = connection.write(&body.as_bytes()[..body.len() / 2]).await;
@@ -450,22 +450,23 @@
             }
             Fault::Unframed => {
                 let mut connection = connection;
-                let _ = connection.write(&good.encode()).await;
+                let _ = connection.write(&success_head.encode()).await;
                 let _ = connection.write(body.as_bytes()).await;
                 (connection, Action::Close)
             }
             Fault::Extra => {
-                let second = self.head(200, true);
-                let (mut connection, action) = send(connection, good, body.as_bytes(), Action::Keep).await;
-                // Behind the first, at the place of the next answer.
+                let extra_head = self.head(200, true);
+                let (mut connection, action) =
+                    send(connection, success_head, body.as_bytes(), Action::Keep).await;
+                // Sent separately, where the caller expects the response to its next request.
                 task::sleep(EVENT_INTERVAL).await;
-                let mut second = second;
-                second.fields.push("Content-Length", "5");
-                let _ = connection.write(&second.encode()).await;
+                let mut extra_head = extra_head;
+                extra_head.fields.push("Content-Length", "5");
+                let _ = connection.write(&extra_head.encode()).await;
                 let _ = connection.write(b"stray").await;
                 (connection, action)
             }
-            _ => send(connection, good, body.as_bytes(), Action::Keep).await,
+            _ => send(connection, success_head, body.as_bytes(), Action::Keep).await,
         }
     }
 
@@ -474,12 +475,12 @@
         lock(&self.state).received.push(request);
     }
 
-    fn head(&self, status: u16, signed: bool) -> Response {
+    fn head(&self, status: u16, is_signed: bool) -> Response {
         let mut head = Response::new(status);
         if let Some(id) = self.head.fields.get("Tarragonhill-Request-Id") {
             head.fields.push("Tarragonhill-Request-Id", id);
         }
-        if signed {
+        if is_signed {
             head.fields.push("Tarragonhill-Server-Signature", format!("{}.1", self.id));
         }
         head
@@ -498,7 +499,7 @@
     }
 }
 
-async fn hang(mut connection: Connection) -> (Connection, Action) {
+async fn wait_for_close(mut connection: Connection) -> (Connection, Action) {
     while matches!(connection.fill().await, Ok(read) if read > 0) {}
     (connection, Action::Close)
 }
--- a/crates/bench/src/platform/server.rs
+++ b/crates/bench/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! A small server that leaves every byte of the answers to its handler.
+//! An HTTP server whose handlers write responses themselves, so that they can send invalid ones.
 
 use std::{
     future::Future,
@@ -17,30 +17,30 @@
 
 use crate::sim::lock;
 
-/// Largest head and body, bytes.
+/// Maximum size of a request head, and of a request body.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
-/// Bytes may stay unacknowledged this long.
-const USER_TIMEOUT: Duration = Duration::from_secs(10);
+/// A connection whose sent bytes stay unacknowledged for this long counts as dead.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What becomes of a connection after an answer.
+/// What to do with a connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Action {
-    /// It takes the next request.
+    /// Read the next request.
     Keep,
-    /// It is closed.
+    /// Close the connection.
     Close,
-    /// It is reset.
+    /// Reset the connection.
     Reset,
 }
 
-/// A running server; killed when dropped.
+/// A running server, which is stopped when dropped.
 pub(crate) struct Server {
     address: SocketAddr,
     tasks: Arc<Mutex<Vec<JoinHandle<()>>>>,
 }
 
 impl Server {
-    /// Serves on an address, port 0 for any, with a handler for each request.
+    /// Starts a server. Port 0 selects an unused port.
     pub(crate) async fn start<F, Fut>(address: SocketAddr, handler: F) -> io::Result<Self>
     where
         F: Fn(Request, Bytes, Connection) -> Fut + Clone + Send + Sync + 'static,
@@ -69,7 +69,7 @@
         self.address
     }
 
-    /// Ends at once, with all connections, as a crash would.
+    /// Stops at once and closes all connections, as a crash does.
     pub(crate) async fn kill(&self) {
         let tasks = std::mem::take(&mut *lock(&self.tasks));
         for task in tasks {
@@ -80,7 +80,7 @@
 
 impl Drop for Server {
     fn drop(&mut self) {
-        // A dropped handle detaches its task; cancelling needs the runtime.
+        // Dropping a handle only detaches its task.
         for task in std::mem::take(&mut *lock(&self.tasks)) {
             task::spawn(task.cancel());
         }
@@ -92,7 +92,7 @@
     F: Fn(Request, Bytes, Connection) -> Fut,
     Fut: Future<Output = (Connection, Action)>,
 {
-    let mut connection = Connection::new(stream, USER_TIMEOUT);
+    let mut connection = Connection::new(stream, TCP_USER_TIMEOUT);
     while let Ok(head) = connection.request(MAX_MESSAGE_BYTES).await {
         let Ok(framing) = head.framing() else { return };
         let Ok(body) = connection.whole(&mut Decoder::new(framing), MAX_MESSAGE_BYTES).await else { return };
@@ -101,12 +101,12 @@
         match action {
             Action::Keep => {}
             Action::Close => return,
-            Action::Reset => return reset(&connection),
+            Action::Reset => return reset_on_close(&connection),
         }
     }
 }
 
-/// Makes the system reset the connection when it is dropped.
-fn reset(connection: &Connection) {
+/// Makes the operating system reset the connection when it is closed.
+fn reset_on_close(connection: &Connection) {
     let _ = socket2::SockRef::from(connection.stream()).set_linger(Some(Duration::ZERO));
 }
--- a/crates/bench/src/platform/store.rs
+++ b/crates/bench/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's store: rows, feeds, and its ways to fail.
+//! A simulated store of the platform, with rows, change feeds and fault injection.
 
 use std::{
     collections::BTreeMap,
@@ -21,27 +21,27 @@
 use super::server::{Action, Server};
 use crate::sim::lock;
 
-/// Most rows in an answer that lists a table.
+/// Maximum rows per page of a table.
 const PAGE_ROWS: usize = 500;
-/// How often a waiting feed looks for changes.
+/// Interval at which a waiting feed checks for changes.
 const FEED_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Chunks a second in which an answer is written at a limited rate.
+/// Chunks per second in which a rate-limited response is written.
 const CHUNKS_PER_S: u64 = 20;
 
-/// How the store fails.
+/// A fault of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum Fault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
-    /// It answers 503; nothing is done.
+    /// Responds with status 503 and does not execute the call.
     Busy,
-    /// It resets connections.
+    /// Resets connections.
     Reset,
-    /// It takes calls and does not answer.
+    /// Accepts calls and never responds.
     Silent,
-    /// It stops in the middle of its answers.
+    /// Stops in the middle of a response.
     Stalled,
 }
 
@@ -55,12 +55,12 @@
 #[derive(Debug, Default)]
 struct State {
     version: u64,
-    /// By table and key; gone rows stay as marks.
+    /// Rows by table and key; removed rows stay as tombstones.
     rows: BTreeMap<(String, String), Row>,
-    /// Changes before this version are forgotten.
+    /// Changes before this version are no longer available.
     oldest_version: u64,
     fault: Fault,
-    /// Bytes a second at which answers are written; as fast as the peer reads without it.
+    /// Rate at which responses are written, in bytes per second; `None` is unlimited.
     rate: Option<u64>,
     calls: u64,
 }
@@ -73,13 +73,13 @@
     }
 
     fn select(&self, table: &str, keep: impl Fn(&str, &Row) -> bool) -> Vec<Value> {
-        let rows = self.rows.iter().filter(|((of, key), row)| of == table && keep(key, row));
+        let rows = self.rows.iter().filter(|((row_table, key), row)| row_table == table && keep(key, row));
         let mut rows: Vec<_> = rows.collect();
         rows.sort_by_key(|(_, row)| row.version);
         rows.into_iter().map(|((table, key), row)| encode(table, key, row)).collect()
     }
 
-    fn answer(&self, rows: Vec<Value>) -> Value {
+    fn rows_response(&self, rows: Vec<Value>) -> Value {
         json!({"rows": rows, "truncated": false, "row_version": self.version, "now_ms": 0})
     }
 }
@@ -101,23 +101,23 @@
 }
 
 impl Store {
-    /// Starts an empty store on an address, port 0 for any.
+    /// Starts an empty store. Port 0 selects an unused port.
     pub async fn start(address: SocketAddr) -> io::Result<Self> {
         let state: Arc<Mutex<State>> = Arc::default();
         let shared = state.clone();
         let server = Server::start(address, move |head, body, connection| {
             let state = shared.clone();
-            async move { answer(state, head, body.to_vec(), connection).await }
+            async move { handle(state, head, body.to_vec(), connection).await }
         });
         Ok(Self { server: server.await?, state })
     }
 
-    /// Where it listens.
+    /// Returns the local address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Starts a further store with the same rows, which goes its own way from there.
+    /// Starts another store with a copy of the rows. Later changes are not shared.
     pub async fn fork(&self) -> io::Result<Self> {
         let fork = Self::start(SocketAddr::from((self.address().ip(), 0))).await?;
         {
@@ -128,51 +128,51 @@
         Ok(fork)
     }
 
-    /// Writes a row, as the operator or an endpoint would.
+    /// Writes a row.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         lock(&self.state).write(table, key, Some(STANDARD.encode(value.to_string())));
     }
 
-    /// Writes bytes that are no JSON.
+    /// Writes a row whose value is not valid JSON.
     pub fn put_invalid(&self, table: &str, key: &str) {
         lock(&self.state).write(table, key, Some(STANDARD.encode([0xff, 0, 0x7b])));
     }
 
-    /// Drops a row.
+    /// Removes a row.
     pub fn remove(&self, table: &str, key: &str) {
         lock(&self.state).write(table, key, None);
     }
 
-    /// Fails from now on, or stops failing.
+    /// Sets the fault of all further calls.
     pub fn set_fault(&self, fault: Fault) {
         lock(&self.state).fault = fault;
     }
 
-    /// Writes answers at a rate from now on, bytes a second, as a slow link would carry them.
+    /// Limits the rate at which responses are written, in bytes per second; `None` removes the limit.
     pub fn set_rate(&self, rate: Option<u64>) {
         lock(&self.state).rate = rate;
     }
 
-    /// Forgets its history: feeds that go on from before are told so.
+    /// Discards the change history. Feeds that continue from an older version get status 410.
     pub fn discard_history(&self) {
         let mut state = lock(&self.state);
         state.version += 1;
         state.oldest_version = state.version;
     }
 
-    /// Whether it holds a row.
+    /// Returns whether a row exists.
     pub fn has(&self, table: &str, key: &str) -> bool {
         let state = lock(&self.state);
         state.rows.get(&(table.into(), key.into())).is_some_and(|row| !row.removed)
     }
 
-    /// Calls taken.
+    /// Returns the number of calls received.
     pub fn calls(&self) -> u64 {
         lock(&self.state).calls
     }
 }
 
-async fn answer(
+async fn handle(
     state: Arc<Mutex<State>>,
     head: Request,
     body: Vec<u8>,
@@ -211,20 +211,23 @@
 }
 
 fn get(state: &State, table: &str, from: &str) -> Value {
-    // The smallest key behind another one is spelled with a zero byte.
+    // Pages continue from the last key with a zero byte appended, which is encoded as `%00`.
     let from = from.replace("%00", "\0");
-    let rows = state.rows.iter().filter(|((of, key), row)| of == table && !row.removed && *key >= from);
+    let rows = state
+        .rows
+        .iter()
+        .filter(|((row_table, key), row)| row_table == table && !row.removed && *key >= from);
     let mut rows: Vec<Value> =
         rows.take(PAGE_ROWS + 1).map(|((table, key), row)| encode(table, key, row)).collect();
     let truncated = rows.len() > PAGE_ROWS;
     rows.truncate(PAGE_ROWS);
-    let mut answer = state.answer(rows);
-    answer["truncated"] = truncated.into();
-    answer
+    let mut response = state.rows_response(rows);
+    response["truncated"] = truncated.into();
+    response
 }
 
 async fn feed(state: &Mutex<State>, table: &str, after: u64, wait: Duration) -> (u16, Value) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
         {
             let state = lock(state);
@@ -233,8 +236,8 @@
             }
             let rows = state.select(table, |_, row| row.version > after);
             let is_failing = !matches!(state.fault, Fault::None | Fault::Stalled);
-            if !rows.is_empty() || began.elapsed() >= wait || is_failing {
-                return (200, state.answer(rows));
+            if !rows.is_empty() || started_at.elapsed() >= wait || is_failing {
+                return (200, state.rows_response(rows));
             }
         }
         task::sleep(FEED_POLL_INTERVAL).await;
@@ -292,24 +295,24 @@
     bytes.extend_from_slice(body.as_bytes());
     let State { rate, fault, .. } = *lock(state);
     if fault == Fault::Stalled {
-        // Fails only if the peer has given up already.
+        // Fails only if the peer has closed the connection.
         let _ = connection.write(&bytes[..bytes.len() / 2]).await;
         wait_for_close(&mut connection).await;
         return (connection, Action::Close);
     }
     let written = match rate {
         None => connection.write(&bytes).await,
-        Some(rate) => write_at(&mut connection, &bytes, rate).await,
+        Some(rate) => write_at_rate(&mut connection, &bytes, rate).await,
     };
     (connection, if written.is_ok() { Action::Keep } else { Action::Close })
 }
 
-/// Completes once the peer has closed the connection.
+/// Waits until the peer closes the connection.
 async fn wait_for_close(connection: &mut Connection) {
     while matches!(connection.fill().await, Ok(read) if read > 0) {}
 }
 
-async fn write_at(connection: &mut Connection, bytes: &[u8], rate: u64) -> io::Result<()> {
+async fn write_at_rate(connection: &mut Connection, bytes: &[u8], rate: u64) -> io::Result<()> {
     let size = usize::try_from(rate / CHUNKS_PER_S).unwrap_or(usize::MAX).max(1);
     for chunk in bytes.chunks(size) {
         connection.write(chunk).await?;
