--- a/crates/bench/src/platform/site.rs
+++ b/crates/bench/src/platform/site.rs
@@ -1,4 +1,4 @@
-//! A whole site on the platform's protocols: store, endpoints and gateways in one process.
+//! A site of the simulated platform: store, endpoints and gateway replicas in one process.
 
 use std::{
     io,
@@ -25,35 +25,31 @@
     store::Store,
 };
 
-/// A key of the customer that has no limit in practice.
+/// API key of the customer whose rate limit tests do not reach.
 pub const KEY: &str = "key-faculty";
-/// A key of the customer with a small rate.
+/// API key of the customer with a low rate limit.
 pub const SMALL_KEY: &str = "key-small";
-/// Memory of each engine, tokens.
+/// Memory of each engine, in tokens.
 pub const KV_CACHE_TOKENS: u64 = 20_000;
-/// The service of the engines.
 const MODEL_SERVICE: &str = "models";
-/// The plain service.
 const PLAIN_SERVICE: &str = "filing";
-/// How often a test looks whether something has come about.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Longest wait for something to come about.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why a site does not start.
+/// Failure to start a site.
 #[derive(Debug)]
 pub enum SiteError {
-    /// A stand-in cannot listen.
+    /// The store or an endpoint could not listen on its address.
     Io(io::Error),
-    /// A gateway does not start.
+    /// A gateway replica failed to start.
     Gateway(StartError),
 }
 
 impl std::fmt::Display for SiteError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Io(error) => write!(f, "a stand-in does not start: {error}"),
-            Self::Gateway(error) => write!(f, "a gateway does not start: {error}"),
+            Self::Io(error) => write!(f, "failed to start the store or an endpoint: {error}"),
+            Self::Gateway(error) => write!(f, "failed to start a gateway: {error}"),
         }
     }
 }
@@ -66,14 +62,14 @@
     }
 }
 
-/// How many of each there are.
+/// Numbers of processes in a site.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
-    /// Entries.
+    /// Gateway replicas.
     pub gateways: usize,
-    /// Engines that read prompts.
+    /// Prefill engines.
     pub prefill: usize,
-    /// Engines that make tokens.
+    /// Decode engines.
     pub decode: usize,
     /// Endpoints of the plain service.
     pub plain: usize,
@@ -89,22 +85,22 @@
 pub struct Site {
     /// The store.
     pub store: Store,
-    /// Entries; a test may take one out to stop it.
+    /// Gateway replicas. A test may remove one to stop it.
     pub gateways: Vec<Gateway>,
     endpoints: Vec<Arc<Endpoint>>,
     kv_handles: KvHandles,
-    /// The loopback address of this site alone: a port that comes free here is not taken by another
-    /// site of the same process, whose processes would be taken for ours.
+    /// Loopback address used by this site only. A port that becomes free cannot be reused by another site,
+    /// whose endpoints would then get requests of this site.
     ip: Ipv4Addr,
-    /// Where the entries hear one another. They take the same port for datagrams and connections, so nothing
-    /// else may take ports there.
+    /// Loopback address for gossip. Each replica binds one port for both UDP and TCP, so no other sockets may
+    /// use this address.
     peer_ip: Ipv4Addr,
-    /// Numbers endpoints, configurations and heartbeats.
+    /// Source of endpoint numbers and of `seq` values.
     counter: u64,
 }
 
 impl Site {
-    /// Starts a site and waits until every gateway has read it.
+    /// Starts a site and waits until every replica knows all of it.
     pub async fn start(shape: Shape) -> Result<Self, SiteError> {
         let mut site = Self::empty().await?;
         for (role, count) in
@@ -122,7 +118,7 @@
         Ok(site)
     }
 
-    /// A site with nothing but a store.
+    /// Starts a site that consists only of a store.
     pub async fn empty() -> Result<Self, SiteError> {
         let ip = unique_loopback_ip();
         let store = Store::start(SocketAddr::from((ip, 0))).await?;
@@ -138,22 +134,22 @@
         })
     }
 
-    /// Starts a further gateway.
+    /// Starts another replica.
     pub async fn add_gateway(&mut self) -> Result<(), SiteError> {
         self.add_gateway_with_clock(Clock::runtime()).await
     }
 
-    /// Starts a further gateway that lives by a clock.
+    /// Starts another replica that uses `clock`.
     pub async fn add_gateway_with_clock(&mut self, clock: Clock) -> Result<(), SiteError> {
-        let table = self.store.address();
-        self.add_gateway_with_store(table, clock).await
+        let store = self.store.address();
+        self.add_gateway_with_store(store, clock).await
     }
 
-    /// Starts a further gateway that reads a store of its own.
-    pub async fn add_gateway_with_store(&mut self, table: SocketAddr, clock: Clock) -> Result<(), SiteError> {
+    /// Starts another replica that uses `clock` and reads the store at `store`.
+    pub async fn add_gateway_with_store(&mut self, store: SocketAddr, clock: Clock) -> Result<(), SiteError> {
         let peer = SocketAddr::from((self.peer_ip, 0));
         let mut settings = self.settings(self.gateways.len() + 1, peer);
-        settings.common.table = table;
+        settings.common.table = store;
         let gateway = Gateway::start(settings, clock).await.map_err(SiteError::Gateway)?;
         self.gateways.push(gateway);
         Ok(())
@@ -175,7 +171,7 @@
         GatewaySettings { common, peer, grace: Duration::from_secs(8), retries }
     }
 
-    /// Ends a gateway and starts it again under its name, where the others know it.
+    /// Kills a replica and starts it again with the same name and gossip address.
     pub async fn restart(&mut self, gateway: usize) -> Result<(), SiteError> {
         let old = self.gateways.remove(gateway);
         let peer = old.peer();
@@ -186,12 +182,12 @@
         Ok(())
     }
 
-    /// Starts a further endpoint and lists it.
+    /// Starts an endpoint and registers it in the store.
     pub async fn add_endpoint(&mut self, role: Role) -> Result<Arc<Endpoint>, SiteError> {
         self.add_endpoint_at(role, SocketAddr::from((self.ip, 0))).await
     }
 
-    /// Starts a further endpoint at an address and lists it.
+    /// Starts an endpoint at `address` and registers it in the store.
     pub async fn add_endpoint_at(
         &mut self,
         role: Role,
@@ -206,21 +202,21 @@
         Ok(endpoint)
     }
 
-    /// Writes an endpoint's entry.
+    /// Writes the row of an endpoint, with this `state`.
     pub fn register(&mut self, endpoint: &Endpoint, state: &str) {
         self.counter += 1;
-        let mut entry = json!({
+        let mut row = json!({
             "service": if endpoint.role() == Role::Plain { PLAIN_SERVICE } else { MODEL_SERVICE },
             "address": endpoint.address().to_string(), "zone": "zone-a", "version": "v1", "slots": 48,
-            "state": state, "cold_remaining_ms": 0, "seq": self.counter, "born": start_number(endpoint),
+            "state": state, "cold_remaining_ms": 0, "seq": self.counter, "born": endpoint_number(endpoint),
         });
         if endpoint.role() != Role::Plain {
-            entry["stage"] = endpoint.role().to_string().into();
+            row["stage"] = endpoint.role().to_string().into();
         }
-        self.store.put("servers", endpoint.id(), &entry);
+        self.store.put("servers", endpoint.id(), &row);
     }
 
-    /// The endpoints of a role, in the order of their start.
+    /// Returns the endpoints with this role, in the order of their start.
     pub fn endpoints(&self, role: Role) -> Vec<Arc<Endpoint>> {
         self.endpoints.iter().filter(|endpoint| endpoint.role() == role).cloned().collect()
     }
@@ -230,24 +226,24 @@
         self.store.put("op", "config", configuration);
     }
 
-    /// Where callers reach the first gateway.
+    /// Returns the caller address of the first replica.
     pub fn address(&self) -> SocketAddr {
         self.gateways[0].address()
     }
 
-    /// What a gateway believes.
+    /// Returns the `/state` dump of a replica; null if it does not respond.
     pub async fn state(&self, gateway: usize) -> Value {
         let admin = self.gateways[gateway].admin();
         let mut head = tarragonhill_h1::head::Request::new("GET", "/state");
         head.fields.push("Host", "admin");
-        let answer = super::caller::request(admin, head, b"").await;
-        answer.ok().and_then(|answer| serde_json::from_slice(&answer.body).ok()).unwrap_or_default()
+        let response = super::caller::request(admin, head, b"").await;
+        response.ok().and_then(|response| serde_json::from_slice(&response.body).ok()).unwrap_or_default()
     }
 
-    /// Waits until every gateway knows every endpoint and every other gateway.
+    /// Waits until every replica knows every endpoint and every peer.
     pub async fn wait_until_synced(&self) {
         for gateway in 0..self.gateways.len() {
-            wait_until("the gateway knows the site", async || {
+            wait_until("the replica knows the site", async || {
                 let state = self.state(gateway).await;
                 let known = state["endpoints"].as_array().map_or(0, Vec::len);
                 known == self.endpoints.len()
@@ -258,48 +254,48 @@
         }
     }
 
-    /// Waits until the first gateway has a version of the configuration.
+    /// Waits until the first replica applies a version of the configuration.
     pub async fn wait_for_version(&self, version: u64) {
-        wait_until("the configuration is in force", async || {
+        wait_until("the configuration is applied", async || {
             self.state(0).await["version"].as_u64() == Some(version)
         })
         .await;
     }
 }
 
-/// A loopback address for one site, different from those of other sites and other processes.
+/// Returns a loopback address that is unique in this process and rarely used by other test processes.
 fn unique_loopback_ip() -> Ipv4Addr {
-    static SITES: AtomicU32 = AtomicU32::new(0);
-    let [_, _, high, low] = SITES.fetch_add(1, Ordering::Relaxed).to_be_bytes();
+    static NEXT_ADDRESS: AtomicU32 = AtomicU32::new(0);
+    let [_, _, high, low] = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed).to_be_bytes();
     let process = u8::try_from(std::process::id() % 250).unwrap_or(0) + 2;
     Ipv4Addr::new(127, process, high, low.saturating_add(1))
 }
 
-/// Ordered as the endpoints' names are.
-fn start_number(endpoint: &Endpoint) -> u64 {
+/// Returns the number in the id of an endpoint.
+fn endpoint_number(endpoint: &Endpoint) -> u64 {
     endpoint.id().rsplit('-').next().and_then(|number| number.parse().ok()).unwrap_or(0)
 }
 
-/// Waits until something has come about; panics if it does not for long.
-pub async fn wait_until(what: &str, mut is_met: impl AsyncFnMut() -> bool) {
-    let began = std::time::Instant::now();
+/// Waits until a condition is met. Panics if that takes too long.
+pub async fn wait_until(condition: &str, mut is_met: impl AsyncFnMut() -> bool) {
+    let started_at = std::time::Instant::now();
     while !is_met().await {
-        assert!(began.elapsed() < WAIT_TIMEOUT, "not seen: {what}");
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "timed out waiting until {condition}");
         task::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until the gateway at an admin address says that it is not ready.
+/// Waits until the replica at an admin address reports that it is not ready.
 pub async fn wait_until_not_ready(admin: SocketAddr) {
-    wait_until("it is not ready", async || {
+    wait_until("the replica is not ready", async || {
         let mut head = tarragonhill_h1::head::Request::new("GET", "/v1/readiness");
         head.fields.push("Host", "admin");
-        super::caller::request(admin, head, b"").await.is_ok_and(|answer| answer.head.status == 503)
+        super::caller::request(admin, head, b"").await.is_ok_and(|response| response.head.status == 503)
     })
     .await;
 }
 
-/// A configuration with a route of each kind.
+/// Returns a configuration with a route of each kind.
 pub fn configuration(version: u64) -> Value {
     let route = |name: &str, kind: &str, service: &str| {
         json!({
@@ -333,7 +329,7 @@
     })
 }
 
-/// The same with further customers that have a rate, `added` of them.
+/// Returns the same configuration with `added` more rate-limited customers.
 pub fn with_customers(version: u64, added: usize) -> Value {
     let mut configuration = configuration(version);
     let template = configuration["tenants"][1].clone();
@@ -347,7 +343,7 @@
     configuration
 }
 
-/// The same with further routes `/added-N/` of the plain service, N below `added`.
+/// Returns the same configuration with `added` more routes `/added-N/` to the plain service, N from 0.
 pub fn with_routes(version: u64, added: usize) -> Value {
     let mut configuration = configuration(version);
     let template = configuration["routes"][3].clone();
--- a/crates/bench/src/sim/table.rs
+++ b/crates/bench/src/sim/table.rs
@@ -188,8 +188,8 @@
         lock(&self.contents).rows.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Delays one write under `prefix`, after `skip` others: the caller gets an error at once, and the write is
-    /// applied after `delay`.
+    /// Delays one write under `prefix`, after `skip` others: the caller gets an error at once, and the
+    /// write is applied after `delay`.
     pub fn delay_write(&self, prefix: &str, skip: u32, delay: Duration) {
         *lock(&self.delayed_write) = Some(DelayedWrite { prefix: prefix.to_owned(), skip, delay });
     }
--- a/crates/bench/tests/configuration.rs
+++ b/crates/bench/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! How a change of the configuration reaches the entries.
+//! Tests of how configuration changes and other shared state reach the gateway replicas.
 
 use std::time::Duration;
 
@@ -14,97 +14,97 @@
 use tarragonhill_core::Clock;
 use tarragonhill_wire::proto;
 
-/// Routes of a configuration that takes far longer than a call's wait to arrive at [`SLOW_LINK`].
-const MANY: usize = 1_000;
+/// Routes of a configuration whose transfer at [`SLOW_LINK_BYTES_PER_S`] exceeds the timeout of a call.
+const LARGE_ROUTE_COUNT: usize = 1_000;
 /// Routes of a configuration of several megabytes.
-const VERY_MANY: usize = 20_000;
-/// Customers that the design is for.
-const CUSTOMERS: usize = 21_000;
-/// Longest wait for a digest; they come several times a second.
-const DIGEST_LIMIT: Duration = Duration::from_secs(10);
-/// Entries whose rows need two pages.
-const ENTRIES: u64 = 700;
-/// An address at which nobody listens.
-const NOBODY: &str = "127.255.0.1:9";
-/// What the links of slow entries carry, bytes a second.
-const SLOW_LINK: u64 = 75_000;
+const HUGE_ROUTE_COUNT: usize = 20_000;
+/// Number of customers that the gateway is designed for.
+const CUSTOMER_COUNT: usize = 21_000;
+/// Timeout for receiving a digest.
+const DIGEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Replicas whose rows need two pages.
+const REPLICA_COUNT: u64 = 700;
+/// An address without a listener.
+const UNUSED_ADDRESS: &str = "127.255.0.1:9";
+/// Throughput of a slow link to the store.
+const SLOW_LINK_BYTES_PER_S: u64 = 75_000;
 
-async fn one_gateway() -> Site {
+async fn start_small_site() -> Site {
     let shape = Shape { gateways: 1, prefill: 1, decode: 1, plain: 1 };
     Site::start(shape).await.expect("the site starts")
 }
 
-async fn status(site: &Site, path: &str) -> u16 {
-    let answer = caller::request(site.address(), plain_request("GET", path, KEY, "r1"), b"").await;
-    answer.expect("an answer").head.status
+async fn status_of(site: &Site, path: &str) -> u16 {
+    let response = caller::request(site.address(), plain_request("GET", path, KEY, "r1"), b"").await;
+    response.expect("a response").head.status
 }
 
-/// Two gateways; the store of the second goes its own way from now on.
-async fn partitioned() -> (Site, Store) {
-    let mut site = one_gateway().await;
-    wait_until("the entry is listed", async || site.store.has("entries", "entry-1")).await;
-    let fork = site.store.fork().await.expect("a store");
-    site.add_gateway_with_store(fork.address(), Clock::runtime()).await.expect("a gateway");
+/// Starts two replicas. The second one reads a separate copy of the store, which is returned too.
+async fn start_partitioned_site() -> (Site, Store) {
+    let mut site = start_small_site().await;
+    wait_until("the first replica is registered", async || site.store.has("entries", "entry-1")).await;
+    let copy = site.store.fork().await.expect("a store");
+    site.add_gateway_with_store(copy.address(), Clock::runtime()).await.expect("a gateway");
     site.wait_until_synced().await;
-    (site, fork)
+    (site, copy)
 }
 
 #[test]
-fn a_configuration_larger_than_a_slow_link_carries_in_one_call_comes_into_force() {
+fn a_configuration_whose_transfer_exceeds_the_timeout_of_a_call_is_applied() {
     task::block_on(async {
-        let site = one_gateway().await;
-        site.store.set_rate(Some(SLOW_LINK));
-        site.configure(&with_routes(2, MANY));
+        let site = start_small_site().await;
+        site.store.set_rate(Some(SLOW_LINK_BYTES_PER_S));
+        site.configure(&with_routes(2, LARGE_ROUTE_COUNT));
         site.wait_for_version(2).await;
-        assert_eq!(status(&site, "/added-999/x").await, 200);
+        assert_eq!(status_of(&site, "/added-999/x").await, 200);
     });
 }
 
 #[test]
-fn an_answer_that_stalls_midway_is_given_up_and_asked_for_again() {
+fn a_stalled_store_response_is_abandoned_and_requested_again() {
     task::block_on(async {
-        let site = one_gateway().await;
+        let site = start_small_site().await;
         site.store.set_fault(Fault::Stalled);
-        site.configure(&with_routes(2, MANY));
+        site.configure(&with_routes(2, LARGE_ROUTE_COUNT));
         let calls = site.store.calls();
-        wait_until("the configuration is asked for again", async || site.store.calls() > calls + 3).await;
+        wait_until("the configuration is requested again", async || site.store.calls() > calls + 3).await;
         site.store.set_fault(Fault::None);
         site.wait_for_version(2).await;
     });
 }
 
 #[test]
-fn a_configuration_of_several_megabytes_comes_into_force() {
+fn a_configuration_of_several_megabytes_is_applied() {
     task::block_on(async {
-        let site = one_gateway().await;
-        site.configure(&with_routes(2, VERY_MANY));
+        let site = start_small_site().await;
+        site.configure(&with_routes(2, HUGE_ROUTE_COUNT));
         site.wait_for_version(2).await;
     });
 }
 
 #[test]
-fn entries_beyond_the_first_page_of_their_table_are_known() {
+fn replicas_beyond_the_first_page_of_the_table_are_known() {
     task::block_on(async {
         let mut site = Site::empty().await.expect("the site starts");
         site.configure(&with_routes(1, 0));
-        for number in 0..ENTRIES {
-            site.store.put("entries", &format!("other-{number:04}"), &json!({"address": NOBODY}));
+        for number in 0..REPLICA_COUNT {
+            site.store.put("entries", &format!("other-{number:04}"), &json!({"address": UNUSED_ADDRESS}));
         }
         site.add_gateway().await.expect("a gateway");
-        wait_until("all entries are known", async || {
-            site.state(0).await["sharers"].as_u64() == Some(ENTRIES + 1)
+        wait_until("all replicas are known", async || {
+            site.state(0).await["sharers"].as_u64() == Some(REPLICA_COUNT + 1)
         })
         .await;
     });
 }
 
 #[test]
-fn an_entry_that_the_store_does_not_reach_gets_a_new_configuration_from_another() {
+fn a_replica_that_cannot_reach_the_store_gets_a_new_configuration_from_a_peer() {
     task::block_on(async {
-        let (site, cut) = partitioned().await;
-        cut.set_fault(Fault::Silent);
-        site.configure(&with_routes(2, MANY));
-        wait_until("the version is in force at both", async || {
+        let (site, copy) = start_partitioned_site().await;
+        copy.set_fault(Fault::Silent);
+        site.configure(&with_routes(2, LARGE_ROUTE_COUNT));
+        wait_until("the second replica applies the version", async || {
             site.state(1).await["version"].as_u64() == Some(2)
         })
         .await;
@@ -112,27 +112,27 @@
 }
 
 #[test]
-fn an_entry_that_the_store_does_not_reach_hears_of_a_leaving_endpoint() {
+fn a_replica_that_cannot_reach_the_store_learns_of_a_draining_endpoint() {
     task::block_on(async {
-        let (mut site, cut) = partitioned().await;
-        cut.set_fault(Fault::Silent);
+        let (mut site, copy) = start_partitioned_site().await;
+        copy.set_fault(Fault::Silent);
         let endpoint = site.endpoints(Role::Plain).remove(0);
         site.register(&endpoint, "draining");
-        wait_until("both know that it leaves", async || {
+        wait_until("the second replica knows that the endpoint is draining", async || {
             let state = site.state(1).await;
             let endpoints = state["endpoints"].as_array().cloned().unwrap_or_default();
-            endpoints.iter().any(|known| known["id"] == **endpoint.id() && known["leaving"] == true)
+            endpoints.iter().any(|row| row["id"] == **endpoint.id() && row["leaving"] == true)
         })
         .await;
     });
 }
 
 #[test]
-fn a_route_that_a_newer_configuration_may_have_is_not_refused_for_good() {
+fn an_unknown_route_can_be_retried_while_a_newer_configuration_exists() {
     task::block_on(async {
-        let site = one_gateway().await;
-        assert_eq!(status(&site, "/added-1/x").await, 404);
-        // An entry that has read a newer configuration and cannot be asked for it.
+        let site = start_small_site().await;
+        assert_eq!(status_of(&site, "/added-1/x").await, 404);
+        // A peer that has a newer configuration and does not respond to requests for it.
         let newer = proto::Digest {
             name: "other".into(),
             incarnation: 1,
@@ -142,35 +142,37 @@
         };
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
         socket.send_to(&newer.encode_to_vec(), site.gateways[0].peer()).await.expect("sent");
-        wait_until("a newer one is known", async || site.state(0).await["behind"] == true).await;
+        wait_until("the replica knows of a newer version", async || site.state(0).await["behind"] == true)
+            .await;
         let head = plain_request("GET", "/added-1/x", KEY, "r2");
-        let answer = caller::request(site.address(), head, b"").await.expect("an answer");
-        assert_eq!(answer.head.status, 503);
-        assert!(answer.header("Retry-After").is_some());
-        assert_eq!(status(&site, "/lookup/x").await, 200);
+        let response = caller::request(site.address(), head, b"").await.expect("a response");
+        assert_eq!(response.head.status, 503);
+        assert!(response.header("Retry-After").is_some());
+        assert_eq!(status_of(&site, "/lookup/x").await, 200);
     });
 }
 
 #[test]
-fn entries_of_a_site_with_many_customers_hear_what_each_spends() {
+fn digests_report_spending_at_a_site_with_many_customers() {
     task::block_on(async {
         let mut site = Site::empty().await.expect("the site starts");
         let other = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
         let address = other.local_addr().expect("an address");
         site.store.put("entries", "other", &json!({"address": address.to_string()}));
-        site.configure(&with_customers(1, CUSTOMERS));
+        site.configure(&with_customers(1, CUSTOMER_COUNT));
         site.add_endpoint(Role::Plain).await.expect("an endpoint");
         site.add_gateway().await.expect("a gateway");
         site.wait_for_version(1).await;
-        let answer =
+        let response =
             caller::request(site.address(), plain_request("GET", "/lookup/x", SMALL_KEY, "r1"), b"").await;
-        assert_eq!(answer.expect("an answer").head.status, 200);
+        assert_eq!(response.expect("a response").head.status, 200);
         let mut bytes = vec![0; 65_536];
         loop {
-            let heard = timeout(DIGEST_LIMIT, other.recv_from(&mut bytes)).await.expect("digests come");
-            let (length, _) = heard.expect("a datagram");
+            let received =
+                timeout(DIGEST_TIMEOUT, other.recv_from(&mut bytes)).await.expect("a digest in time");
+            let (length, _) = received.expect("a datagram");
             let digest = proto::Digest::decode(&bytes[..length]).expect("a digest");
-            if digest.spending.iter().any(|told| told.customer == "small" && told.spent == 200) {
+            if digest.spending.iter().any(|spending| spending.customer == "small" && spending.spent == 200) {
                 return;
             }
         }
