--- a/crates/bench/src/caller.rs
+++ b/crates/bench/src/caller.rs
@@ -6,7 +6,7 @@
 };
 
 use serde_json::{Value, json};
-use tarragonhill_http::client::{Answer, Call, Error, Pool};
+use tarragonhill_http::client::{Error, Pool, Request, Response};
 
 use crate::sim;
 
@@ -119,8 +119,8 @@
         Self { address, key: key.into(), pool: Pool::default() }
     }
 
-    fn authorize(&self, call: Call) -> Call {
-        call.header("authorization", format!("Bearer {}", self.key))
+    fn authorize(&self, request: Request) -> Request {
+        request.header("authorization", format!("Bearer {}", self.key))
     }
 
     /// Sends a completion request and reads the whole response.
@@ -132,8 +132,8 @@
             "max_tokens": completion.max_tokens,
             "stream": completion.stream,
         });
-        let call = self.authorize(Call::post("/v1/completions", &body).over_kept());
-        match self.pool.send(self.address, call, RESPONSE_TIMEOUT).await {
+        let request = self.authorize(Request::post("/v1/completions", &body).allow_reuse());
+        match self.pool.send(self.address, request, RESPONSE_TIMEOUT).await {
             Err(error) => TimedOutcome::untimed(Outcome::from(error)),
             Ok(response) if response.status() != 200 => TimedOutcome::untimed(read_refusal(response).await),
             Ok(response) if completion.stream => read_stream(response, started_at).await,
@@ -150,12 +150,12 @@
         idempotency_key: Option<&str>,
     ) -> Result<(u16, Value), Error> {
         let bytes = if method == "GET" { Vec::new() } else { body.to_string().into_bytes() };
-        let call = Call::raw(method, path, bytes).ok_or_else(|| Error::Path(method.to_owned()))?;
-        let mut call = self.authorize(call.over_kept());
+        let request = Request::raw(method, path, bytes).ok_or_else(|| Error::Path(method.to_owned()))?;
+        let mut request = self.authorize(request.allow_reuse());
         if let Some(key) = idempotency_key {
-            call = call.header("idempotency-key", key);
+            request = request.header("idempotency-key", key);
         }
-        let response = self.pool.send(self.address, call, RESPONSE_TIMEOUT).await?;
+        let response = self.pool.send(self.address, request, RESPONSE_TIMEOUT).await?;
         let status = response.status();
         Ok((status, response.json().await?))
     }
@@ -168,8 +168,8 @@
             "max_tokens": completion.max_tokens,
             "stream": true,
         });
-        let call = self.authorize(Call::post("/v1/completions", &body));
-        let mut response = self.pool.send(self.address, call, RESPONSE_TIMEOUT).await?;
+        let request = self.authorize(Request::post("/v1/completions", &body));
+        let mut response = self.pool.send(self.address, request, RESPONSE_TIMEOUT).await?;
         let mut received = 0;
         while received < tokens {
             let Some(line) = response.line().await? else { break };
@@ -179,7 +179,7 @@
     }
 }
 
-async fn read_refusal(response: Answer<'_>) -> Outcome {
+async fn read_refusal(response: Response<'_>) -> Outcome {
     let status = response.status();
     let retry_after = response.header("retry-after").and_then(|value| value.parse().ok());
     let Ok(body) = response.json::<Value>().await else {
@@ -188,14 +188,14 @@
     Outcome::Refused(Refusal::parse(status, &body, retry_after))
 }
 
-async fn read_completion(response: Answer<'_>) -> Outcome {
+async fn read_completion(response: Response<'_>) -> Outcome {
     match response.json::<Value>().await {
         Ok(body) => Outcome::Answered { text: body["text"].as_str().unwrap_or_default().to_owned() },
         Err(error) => Outcome::Failed(error.to_string()),
     }
 }
 
-async fn read_stream(mut response: Answer<'_>, started_at: Instant) -> TimedOutcome {
+async fn read_stream(mut response: Response<'_>, started_at: Instant) -> TimedOutcome {
     let mut timed = TimedOutcome::untimed(Outcome::Failed("stream ended before its last event".into()));
     let mut text = String::new();
     let mut last_token_at = started_at;
@@ -205,7 +205,7 @@
             Ok(Ok(Some(line))) => line,
             Ok(Ok(None)) if is_done => {
                 timed.outcome = Outcome::Answered { text };
-                response.keep();
+                response.release();
                 return timed;
             }
             _ => {
--- a/crates/bench/src/platform/caller.rs
+++ b/crates/bench/src/platform/caller.rs
@@ -89,12 +89,12 @@
 
     /// Reads the next response until its end or the end of the connection.
     pub async fn read_response(&mut self) -> Result<Response, Error> {
-        let head = self.connection.response(MAX_HEAD_BYTES).await?;
+        let head = self.connection.read_response(MAX_HEAD_BYTES).await?;
         let framing = head.framing("GET").unwrap_or(Framing::Empty);
         let mut decoder = Decoder::new(framing);
         let mut body = Vec::new();
         let is_complete = loop {
-            match self.connection.part(&mut decoder).await {
+            match self.connection.read_part(&mut decoder).await {
                 Ok(Some(part)) => body.extend_from_slice(&part),
                 Ok(None) => break true,
                 Err(_) => break false,
@@ -105,9 +105,9 @@
 
     /// Reads the head of the next response and the first part of its body.
     pub async fn read_first_part(&mut self) -> Result<(ResponseHead, Option<Bytes>), Error> {
-        let head = self.connection.response(MAX_HEAD_BYTES).await?;
+        let head = self.connection.read_response(MAX_HEAD_BYTES).await?;
         let mut decoder = Decoder::new(head.framing("GET").unwrap_or(Framing::Empty));
-        let part = self.connection.part(&mut decoder).await?;
+        let part = self.connection.read_part(&mut decoder).await?;
         Ok((head, part))
     }
 
--- a/crates/bench/src/platform/server.rs
+++ b/crates/bench/src/platform/server.rs
@@ -93,9 +93,11 @@
     Fut: Future<Output = (Connection, Action)>,
 {
     let mut connection = Connection::new(stream, TCP_USER_TIMEOUT);
-    while let Ok(head) = connection.request(MAX_MESSAGE_BYTES).await {
+    while let Ok(head) = connection.read_request(MAX_MESSAGE_BYTES).await {
         let Ok(framing) = head.framing() else { return };
-        let Ok(body) = connection.whole(&mut Decoder::new(framing), MAX_MESSAGE_BYTES).await else { return };
+        let Ok(body) = connection.read_body(&mut Decoder::new(framing), MAX_MESSAGE_BYTES).await else {
+            return;
+        };
         let action;
         (connection, action) = handler(head, body, connection).await;
         match action {
--- a/crates/bench/src/sim/decode.rs
+++ b/crates/bench/src/sim/decode.rs
@@ -14,7 +14,7 @@
 use tarragonhill_engine::protocol::{Decode, Export, Line};
 use tarragonhill_http::{
     Sender,
-    client::{Call, Pool},
+    client::{Pool, Request},
     server::{Inbound, Outbound},
 };
 
@@ -218,8 +218,8 @@
 
 async fn import(context: &Context, work: &Decode) -> Option<Export> {
     let address = work.source.parse().ok()?;
-    let call = Call::get(format!("/export/{}", work.kv));
-    let response = context.pool.send(address, call, IMPORT_TIMEOUT).await.ok()?;
+    let request = Request::get(format!("/export/{}", work.kv));
+    let response = context.pool.send(address, request, IMPORT_TIMEOUT).await.ok()?;
     if response.status() != 200 {
         let _ = response.bytes().await;
         return None;
--- a/crates/daemon/src/entry/operators.rs
+++ b/crates/daemon/src/entry/operators.rs
@@ -26,7 +26,7 @@
 /// Serves one HTTP request at the admin address.
 pub(crate) async fn answer(context: Arc<Context>, inbound: Inbound) -> Outbound {
     let ready = context.check_serving().is_ok();
-    if let Some(outbound) = admin::common(&inbound, context.metrics.registry(), ready) {
+    if let Some(outbound) = admin::handle_common(&inbound, context.metrics.registry(), ready) {
         return outbound;
     }
     if !is_authorized(&context, &inbound) {
@@ -162,7 +162,7 @@
     // Applies the change here before the reply is sent. Other processes learn of it by heartbeats and
     // polls.
     let _ = context.current.refresh(&*context.table).await;
-    context.current.nudge();
+    context.current.request_refresh();
     Outbound::json(200, &json!({"outcome": "confirmed", "version": version}))
 }
 
--- a/crates/daemon/src/entry/stages/complete.rs
+++ b/crates/daemon/src/entry/stages/complete.rs
@@ -36,7 +36,7 @@
     }
     let output = Output::buffered(context, info.request, info.arrived);
     let disconnected = async {
-        watch.gone().await;
+        watch.disconnected().await;
         Err(Some(caller_left()))
     };
     let outbound = serve(context, info, &completion, output).or(disconnected).await;
@@ -61,7 +61,7 @@
         let _guard = guard;
         let output = Output::stream(&context, info.request, info.arrived, head_sender);
         let disconnected = async {
-            watch.gone().await;
+            watch.disconnected().await;
             Err(Some(caller_left()))
         };
         if let Err(Some(refusal)) = serve(&context, info, &completion, output).or(disconnected).await {
