--- a/crates/bench/src/platform/caller.rs
+++ b/crates/bench/src/platform/caller.rs
@@ -56,12 +56,12 @@
     head
 }
 
-/// Creates a completion request with `prompt` prompt tokens.
-pub fn completion_request(target: &str, key: &str, id: &str, prompt: u64) -> Request {
+/// Creates a completion request with `prompt_tokens` prompt tokens.
+pub fn completion_request(target: &str, key: &str, id: &str, prompt_tokens: u64) -> Request {
     let mut head = plain_request("POST", target, key, id);
     head.fields.push("Tarragonhill-Model", "m");
-    head.fields.push("Tarragonhill-Token-Counts", format!("{prompt},220"));
-    head.fields.push("Tarragonhill-Prompt-Prefix", format!("5c1e07a2:{prompt}"));
+    head.fields.push("Tarragonhill-Token-Counts", format!("{prompt_tokens},220"));
+    head.fields.push("Tarragonhill-Prompt-Prefix", format!("5c1e07a2:{prompt_tokens}"));
     head.fields.push("Tarragonhill-Length-Hint", "220");
     head
 }
--- a/crates/bench/src/platform/endpoint.rs
+++ b/crates/bench/src/platform/endpoint.rs
@@ -146,10 +146,10 @@
     ) -> io::Result<Self> {
         let id: Arc<str> = id.into();
         let state = Arc::new(Mutex::new(State { free_tokens, ..State::default() }));
-        let (shared, own) = (state.clone(), id.clone());
+        let (shared, own_id) = (state.clone(), id.clone());
         let server = Server::start(address, move |head, body, connection| {
             let exchange = Exchange {
-                id: own.clone(),
+                id: own_id.clone(),
                 role,
                 state: shared.clone(),
                 kv_handles: kv_handles.clone(),
--- a/crates/bench/src/platform/server.rs
+++ b/crates/bench/src/platform/server.rs
@@ -18,7 +18,7 @@
 use crate::sim::lock;
 
 /// Maximum size of a request head, and of a request body.
-const MAX_MESSAGE_BYTES: usize = 8 << 20;
+const MAX_BYTES: usize = 8 << 20;
 /// A connection whose sent bytes stay unacknowledged for this long counts as dead.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -93,11 +93,9 @@
     Fut: Future<Output = (Connection, Action)>,
 {
     let mut connection = Connection::new(stream, TCP_USER_TIMEOUT);
-    while let Ok(head) = connection.read_request(MAX_MESSAGE_BYTES).await {
+    while let Ok(head) = connection.read_request(MAX_BYTES).await {
         let Ok(framing) = head.framing() else { return };
-        let Ok(body) = connection.read_body(&mut Decoder::new(framing), MAX_MESSAGE_BYTES).await else {
-            return;
-        };
+        let Ok(body) = connection.read_body(&mut Decoder::new(framing), MAX_BYTES).await else { return };
         let action;
         (connection, action) = handler(head, body, connection).await;
         match action {
