--- a/crates/bench/tests/path.rs
+++ b/crates/bench/tests/path.rs
@@ -7,9 +7,9 @@
 use quickcheck::{Arbitrary as _, Gen};
 use serde_json::json;
 use tarragonhill_bench::{
-    caller::{Caller, Completion, Outcome, Refused},
+    caller::{Caller, Completion, Outcome, Refusal},
     fleet::{Fleet, MODEL, SERVICE, Shape, Tenant, key_of},
-    standin::{DECODE_POISON, POISON, prefill},
+    sim::{DECODE_POISON, POISON, prefill},
 };
 use tarragonhill_core::{
     plan::Intent,
@@ -22,7 +22,7 @@
 
 fn shape() -> Shape {
     Shape {
-        prefill_power: prefill::Power { tokens_per_s: 1_000_000, ..prefill::Power::default() },
+        prefill_profile: prefill::Profile { tokens_per_s: 1_000_000, ..prefill::Profile::default() },
         tenants: vec![
             Tenant::new("faculty", 500_000, 1_000_000),
             Tenant::new("grants", 1_000, 1_000),
@@ -55,7 +55,7 @@
 
 fn refusal(outcome: &Outcome) -> (&str, bool) {
     match outcome {
-        Outcome::Refused(Refused { code, not_run, .. }) => (code, *not_run),
+        Outcome::Refused(Refusal { code, not_run, .. }) => (code, *not_run),
         other => panic!("not refused: {other:?}"),
     }
 }
@@ -66,7 +66,7 @@
         for (entry, stream) in [(0, true), (1, false), (2, true)] {
             let wanted = completion(&format!("question {entry}"), 20, stream);
             let timed = caller(&fleet, entry, "faculty").complete(&wanted).await;
-            assert!(timed.is_right(&wanted), "{:?}", timed.outcome);
+            assert!(timed.is_correct(&wanted), "{:?}", timed.outcome);
         }
         fleet.stop().await;
     });
@@ -78,7 +78,7 @@
 fn memory_falls_free_when_the_caller_leaves() {
     run(|fleet| async move {
         let wanted = completion("never read to its end", 5_000, true);
-        caller(&fleet, 0, "faculty").leave_after(&wanted, 2).await.expect("the stream begins");
+        caller(&fleet, 0, "faculty").disconnect_after(&wanted, 2).await.expect("the stream begins");
         let free = || async { fleet.decode.iter().all(|engine| engine.memory().0 == 0) };
         assert!(eventually(free).await);
         fleet.stop().await;
@@ -186,7 +186,7 @@
     run(|fleet| async move {
         let caller = caller(&fleet, 0, "grants");
         let wanted = completion(&"x".repeat(3_200), 100, true);
-        caller.leave_after(&wanted, 1).await.expect("the stream begins");
+        caller.disconnect_after(&wanted, 1).await.expect("the stream begins");
         let free = || async { fleet.decode.iter().all(|engine| engine.memory().0 == 0) };
         assert!(eventually(free).await);
         let again = caller.complete(&completion(&"y".repeat(3_600), 90, false)).await;
@@ -200,7 +200,7 @@
 #[test]
 fn call_with_a_lost_answer_is_never_sent_again() {
     run(|fleet| async move {
-        fleet.plain.iter().for_each(|service| service.switches.set_lose(1_000));
+        fleet.plain.iter().for_each(|service| service.faults.set_loss_rate(1_000));
         let path = format!("/v1/services/{SERVICE}/submissions");
         let file = |entry| {
             let caller = caller(&fleet, entry, "faculty");
@@ -209,7 +209,7 @@
         };
         let (status, body) = file(0).await;
         assert_eq!((status, body["error"]["code"].as_str()), (502, Some("outcome_unknown")));
-        fleet.plain.iter().for_each(|service| service.switches.set_lose(0));
+        fleet.plain.iter().for_each(|service| service.faults.set_loss_rate(0));
         let (status, body) = file(1).await;
         assert_eq!((status, body["error"]["code"].as_str()), (502, Some("outcome_unknown")));
         let executed: u32 = fleet.plain.iter().flat_map(|s| s.executions().into_values()).sum();
@@ -251,7 +251,7 @@
 #[test]
 fn call_without_a_record_is_not_sent() {
     run(|fleet| async move {
-        fleet.table.switches.set_down(true);
+        fleet.table.faults.set_down(true);
         let path = format!("/v1/services/{SERVICE}/submissions");
         let caller = caller(&fleet, 0, "faculty");
         let (status, body) = caller.call("POST", &path, &json!({}), Some("s-2")).await.expect("an answer");
@@ -260,7 +260,7 @@
             (503, &json!("record_unavailable"), &json!(true))
         );
         assert!(fleet.plain.iter().all(|service| service.executions().is_empty()));
-        fleet.table.switches.set_down(false);
+        fleet.table.faults.set_down(false);
         let (status, _) = caller.call("POST", &path, &json!({}), Some("s-2")).await.expect("an answer");
         assert_eq!(status, 200);
         fleet.stop().await;
@@ -293,7 +293,7 @@
         let crashes: usize = fleet.prefill.iter().map(|engine| engine.starts.all().len()).sum();
         assert_eq!(crashes, 2);
         let innocent = completion("innocent", 4, false);
-        assert!(caller.complete(&innocent).await.is_right(&innocent));
+        assert!(caller.complete(&innocent).await.is_correct(&innocent));
         fleet.stop().await;
     });
 }
@@ -309,7 +309,7 @@
                 let caller = caller(&fleet, number % 3, "faculty");
                 task::spawn(async move {
                     let timed = caller.complete(&wanted).await;
-                    assert!(timed.is_right(&wanted), "{:?}", timed.outcome);
+                    assert!(timed.is_correct(&wanted), "{:?}", timed.outcome);
                 })
             })
             .collect();
@@ -343,9 +343,9 @@
         let running = || async { fleet.decode.iter().any(|engine| engine.memory().1 > 0) };
         assert!(eventually(running).await);
         let engine = fleet.decode.iter().find(|engine| engine.memory().1 > 0).expect("it runs");
-        engine.switches.set_down(true);
+        engine.faults.set_down(true);
         let timed = answer.await;
-        assert!(timed.is_right(&wanted), "{:?}", timed.outcome);
+        assert!(timed.is_correct(&wanted), "{:?}", timed.outcome);
         fleet.stop().await;
     });
 }
@@ -363,7 +363,7 @@
         assert!(eventually(running).await);
         let entry = fleet.entries[1].take().expect("not killed");
         entry.shutdown().await;
-        assert!(answer.await.is_right(&wanted));
+        assert!(answer.await.is_correct(&wanted));
         fleet.stop().await;
     });
 }
@@ -395,9 +395,9 @@
         let client = Client::new(fleet.entry(0).admin(), None);
         let intent = Intent::WithdrawKey { id: "grants-1".into(), running: WithdrawalPolicy::Cut };
         let planned = client.plan(&intent).await.expect("a plan");
-        fleet.table.switches.set_lose(1_000);
+        fleet.table.faults.set_loss_rate(1_000);
         let _ = client.confirm(&planned).await;
-        fleet.table.switches.set_lose(0);
+        fleet.table.faults.set_loss_rate(0);
         assert_eq!(client.resolve(&planned.plan.id).await.expect("known")["outcome"], "confirmed");
         for entry in 0..3 {
             let caller = caller(&fleet, entry, "grants");
@@ -414,9 +414,9 @@
 /// though the engine had worked on it: found by `check`, seed 12, as not-run-true broken.
 #[test]
 fn request_cut_in_its_prefill_is_not_called_not_run() {
-    let slow = prefill::Power { tokens_per_s: 50, ..prefill::Power::default() };
+    let slow = prefill::Profile { tokens_per_s: 50, ..prefill::Profile::default() };
     task::block_on(async {
-        let fleet = Fleet::start(Shape { prefill_power: slow, ..shape() }).await.expect("the fleet starts");
+        let fleet = Fleet::start(Shape { prefill_profile: slow, ..shape() }).await.expect("the fleet starts");
         let wanted = completion(&"x".repeat(2_000), 4, false);
         let caller = caller(&fleet, 0, "grants");
         let answer = task::spawn(async move { caller.complete(&wanted).await });
@@ -448,7 +448,7 @@
         for number in 0..9 {
             let wanted = completion(&format!("after the drain {number}"), 2, false);
             let timed = caller(&fleet, number % 3, "faculty").complete(&wanted).await;
-            assert!(timed.is_right(&wanted), "{:?}", timed.outcome);
+            assert!(timed.is_correct(&wanted), "{:?}", timed.outcome);
         }
         assert_eq!(fleet.prefill[0].starts.all().len(), before);
         assert!(fleet.agents.contains_key(&format!("{}-0", Role::Prefill)));
