--- a/crates/bench/src/check.rs
+++ b/crates/bench/src/check.rs
@@ -1,9 +1,9 @@
-//! History checking: concurrent runs with random faults, and one checker for each promise.
+//! Invariant checks on runs with concurrent requests and random faults.
 //!
-//! A run records what callers sent and got, what engines and services really did, and what
-//! operators changed. The checkers look at nothing else.
+//! A run records the requests and answers of callers, the work executed by engines and services,
+//! and the changes made by operators. Each invariant has a checker that reads only this history.
 
 pub mod history;
-pub mod promise;
+pub mod invariant;
 pub mod run;
 pub mod scenario;
--- a/crates/bench/src/check/history.rs
+++ b/crates/bench/src/check/history.rs
@@ -1,4 +1,4 @@
-//! What a run has recorded.
+//! History of a run, the input of the invariant checkers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,95 +10,96 @@
     check::scenario::Fault,
 };
 
-/// What a caller sent.
+/// Payload of a request.
 #[derive(Clone, Debug)]
 pub enum Sent {
-    /// A completion.
+    /// Completion.
     Completion(Completion),
-    /// A filing under an idempotency key.
-    Filing {
-        /// The key, as the service sees it.
+    /// Call of the plain service with an idempotency key.
+    Submission {
+        /// Idempotency key, as received by the service.
         key: String,
-        /// The body.
+        /// Request body.
         body: String,
     },
 }
 
-/// One request with everything its caller saw.
+/// Request with its answers, as recorded by the caller.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Whose key came with it.
+    /// Customer whose key authorized the request.
     pub tenant: String,
-    /// Through which entry it went.
+    /// Index of the entry that received the request.
     pub entry: usize,
-    /// What was sent.
+    /// Payload.
     pub sent: Sent,
-    /// When, from the start of the run.
+    /// Send time since the start of the run.
     pub began: Duration,
-    /// When the last answer came.
+    /// Time of the last answer since the start of the run.
     pub ended: Duration,
-    /// The answers, which should be exactly one.
+    /// Answers; more than one violates an invariant.
     pub answers: Vec<Outcome>,
-    /// The router's identifier of the request, if an answer told it.
+    /// Request id assigned by the router; None unless the answer contains it.
     pub request: Option<String>,
 }
 
-/// A span in which an entry was shut down gracefully.
+/// Graceful shutdown of an entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
-    /// Which entry.
+    /// Index of the entry.
     pub entry: usize,
-    /// When it began.
+    /// Start time since the start of the run.
     pub began: Duration,
 }
 
-/// What an operator changed.
+/// Settings change by an operator.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// A key was withdrawn.
+    /// The key of this customer was withdrawn.
     Withdrawn(String),
-    /// An endpoint was told to leave.
+    /// The host of this endpoint was drained.
     Drained(String),
-    /// A customer's burst was set.
+    /// The burst of a customer was set to this number of tokens.
     Burst(u64),
 }
 
-/// A confirmed change.
+/// Change that was confirmed to the operator.
 #[derive(Clone, Debug)]
 pub struct Confirmed {
-    /// What.
+    /// Changed setting.
     pub change: Change,
-    /// When the operator was told.
+    /// Time of the confirmation since the start of the run.
     pub at: Duration,
-    /// The settings version it made.
+    /// Settings version that contains the change.
     pub version: u64,
 }
 
-/// Everything recorded of one run.
+/// Record of one run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// What callers sent and got.
+    /// Requests with their answers.
     pub calls: Vec<Call>,
-    /// Requests that any endpoint began to run, by identifier.
+    /// Ids of the requests that any endpoint started to execute.
     pub executed: BTreeSet<String>,
-    /// Filings executed: key to customers on whose behalf, one for each execution.
-    pub filings: BTreeMap<String, Vec<String>>,
-    /// When work began at each endpoint.
+    /// Executed submissions by idempotency key, with the customer of each execution.
+    pub submissions: BTreeMap<String, Vec<String>>,
+    /// Times at which each endpoint started work.
     pub starts: BTreeMap<String, Vec<Duration>>,
-    /// Whether any endpoint has seen a caller's key.
+    /// Whether any endpoint received a caller's API key.
     pub key_seen: bool,
-    /// Memory pieces still used by decode engines once everything had ended.
-    pub pieces_left: u32,
-    /// Changes that operators were told are in force.
+    /// Memory pieces in use at decode engines after all requests ended.
+    pub pieces_in_use: u32,
+    /// Confirmed changes.
     pub confirmed: Vec<Confirmed>,
-    /// Settings versions seen at each process (entry number and start), in order of time.
+    /// Sampled settings versions of each entry process in time order; the key holds the entry's name
+    /// and incarnation.
     pub versions: BTreeMap<String, Vec<(Duration, u64)>>,
     /// Graceful shutdowns.
     pub shutdowns: Vec<Shutdown>,
-    /// Rate and burst of each customer, and tokens served with when.
+    /// Rate (tokens per second) and burst (tokens) of each customer.
     pub limits: BTreeMap<String, (u64, u64)>,
-    /// Faults brought about.
+    /// Number of injected faults of each kind.
     pub faults: BTreeMap<Fault, usize>,
-    /// When the run ended.
+    /// End time since the start of the run.
     pub ended: Duration,
 }
--- a/crates/bench/src/check/promise.rs
+++ b/crates/bench/src/check/invariant.rs
@@ -1,4 +1,5 @@
-//! The ten promises of the brief, one checker each, and one planted defect that each must catch.
+//! Invariants of the router, each with a checker. `check --break` injects a defect that the checker
+//! must detect.
 
 use std::time::Duration;
 
@@ -7,42 +8,42 @@
 use super::history::{Call, Change, Confirmed, History, Sent};
 use crate::{caller::Outcome, standin};
 
-/// "Within seconds", for keys, drains and settings.
-const SECONDS: Duration = Duration::from_secs(8);
-/// An entry may admit a request this long after its caller sent it.
-const RATE_WAIT: f64 = 0.4;
+/// Time within which a withdrawn key, a drain or new settings must be in force everywhere.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(8);
+/// Maximum time that an entry holds a request for rate tokens, with a margin.
+const RATE_WAIT_SECS: f64 = 0.4;
 
-/// What must always hold.
+/// Property that must hold in every run.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display, EnumString, EnumIter, IntoStaticStr,
 )]
 #[strum(serialize_all = "kebab-case")]
-pub enum Promise {
-    /// No engine memory stays held by a request whose caller is gone.
+pub enum Invariant {
+    /// Engine memory is freed when its request ends or its caller disconnects.
     MemoryFreed,
-    /// Nobody receives two answers to one request.
+    /// A request has at most one answer.
     OneAnswer,
-    /// A request runs only for its key's customer, no endpoint sees the key, and a withdrawn key
-    /// stops working within seconds.
+    /// A request runs only for its key's customer, no endpoint receives the key, and a withdrawn key
+    /// is refused within `PROPAGATION_TIMEOUT`.
     KeyHonoured,
-    /// No customer gets more than its rate and burst.
+    /// No customer is served more tokens than its rate and burst allow.
     WithinRate,
-    /// A caller gets the whole answer to its own request.
+    /// An answer is complete and correct; a broken stream is a prefix of the correct answer.
     WholeAnswer,
-    /// A refusal that says "not run" is true.
+    /// A request refused as not run was not executed.
     NotRunTrue,
-    /// Filings are at most once.
+    /// A submission is executed at most once.
     AtMostOnce,
-    /// A leaving endpoint gets no new work after a few seconds.
+    /// A drained endpoint gets no new work after `PROPAGATION_TIMEOUT`.
     LeavingLeftAlone,
-    /// A graceful shutdown cuts no request.
+    /// A graceful shutdown interrupts no request.
     ShutdownCutsNothing,
-    /// An accepted configuration is in force everywhere within seconds and never reverts.
+    /// Confirmed settings are in force everywhere within `PROPAGATION_TIMEOUT` and never revert.
     SettingsStand,
 }
 
-impl Promise {
-    /// Whether the history breaks the promise; says how.
+impl Invariant {
+    /// Returns a description of the first violation in `history`, or None if there is none.
     pub fn check(self, history: &History) -> Option<String> {
         match self {
             Self::MemoryFreed => memory_freed(history),
@@ -60,53 +61,54 @@
 }
 
 fn memory_freed(history: &History) -> Option<String> {
-    (history.pieces_left > 0)
-        .then(|| format!("{} memory pieces are still used at the end", history.pieces_left))
+    (history.pieces_in_use > 0)
+        .then(|| format!("{} memory pieces are still in use after all requests ended", history.pieces_in_use))
 }
 
 fn one_answer(history: &History) -> Option<String> {
-    let twice = history.calls.iter().find(|call| call.answers.len() > 1)?;
-    Some(format!("{} answers to one request of {}", twice.answers.len(), twice.tenant))
+    let repeated = history.calls.iter().find(|call| call.answers.len() > 1)?;
+    Some(format!("{} answers to one request of {}", repeated.answers.len(), repeated.tenant))
 }
 
 fn key_honoured(history: &History) -> Option<String> {
     if history.key_seen {
-        return Some("an endpoint has seen a caller's key".into());
+        return Some("an endpoint received a caller's API key".into());
     }
-    let foreign = history.filings.iter().find_map(|(key, customers)| {
+    let foreign = history.submissions.iter().find_map(|(key, customers)| {
         let owner = key.split('/').next().unwrap_or_default();
         let other = customers.iter().find(|customer| *customer != owner)?;
-        Some(format!("filing {key} ran for {other}"))
+        Some(format!("submission {key} was executed for {other}"))
     });
-    foreign.or_else(|| history.confirmed.iter().find_map(|confirmed| used_after(history, confirmed)))
+    foreign
+        .or_else(|| history.confirmed.iter().find_map(|confirmed| used_after_withdrawal(history, confirmed)))
 }
 
-fn used_after(history: &History, confirmed: &Confirmed) -> Option<String> {
+fn used_after_withdrawal(history: &History, confirmed: &Confirmed) -> Option<String> {
     let Change::Withdrawn(tenant) = &confirmed.change else { return None };
-    let late = history.calls.iter().find(|call| {
+    let late_use = history.calls.iter().find(|call| {
         let answered = call.answers.iter().any(|answer| matches!(answer, Outcome::Answered { .. }));
-        call.tenant == *tenant && call.began > confirmed.at + SECONDS && answered
+        call.tenant == *tenant && call.began > confirmed.at + PROPAGATION_TIMEOUT && answered
     })?;
-    Some(format!("{tenant} was served {:?} after its key was withdrawn", late.began - confirmed.at))
+    Some(format!("{tenant} was served {:?} after its key was withdrawn", late_use.began - confirmed.at))
 }
 
 fn within_rate(history: &History) -> Option<String> {
     history.limits.iter().find_map(|(tenant, (rate, burst))| {
-        let allowed = *burst as f64 + *rate as f64 * RATE_WAIT;
+        let allowed = *burst as f64 + *rate as f64 * RATE_WAIT_SECS;
         let (mut sum, mut last) = (0.0_f64, 0.0_f64);
         let mut calls: Vec<&Call> = history.calls.iter().filter(|call| call.tenant == *tenant).collect();
         calls.sort_by_key(|call| call.began);
         calls.into_iter().find_map(|call| {
             let at = call.began.as_secs_f64();
-            sum = (sum - (at - last) * *rate as f64).max(0.0) + used(call);
+            sum = (sum - (at - last) * *rate as f64).max(0.0) + served_tokens(call);
             last = at;
             (sum > allowed)
-                .then(|| format!("{tenant} was served {sum:.0} tokens at once, allowed {allowed:.0}"))
+                .then(|| format!("{tenant} was served {sum:.0} tokens in one burst, allowed {allowed:.0}"))
         })
     })
 }
 
-fn used(call: &Call) -> f64 {
+fn served_tokens(call: &Call) -> f64 {
     let Sent::Completion(completion) = &call.sent else { return 0.0 };
     let tokens = call.answers.iter().map(|answer| match answer {
         Outcome::Answered { text } => completion.prompt.len().div_ceil(4) + text.split_whitespace().count(),
@@ -123,60 +125,67 @@
         Outcome::Broken { text, .. } => !expected.starts_with(text.as_str()),
         Outcome::Refused(_) | Outcome::Failed(_) | Outcome::Unsent(_) => false,
     })?;
-    Some(format!("{} got a wrong answer to {:.40}...: {wrong:.120?}", call.tenant, completion.prompt))
+    Some(format!("{} received a wrong answer to {:.40}...: {wrong:.120?}", call.tenant, completion.prompt))
 }
 
 fn not_run_true(history: &History) -> Option<String> {
-    let lie = history.calls.iter().find(|call| {
-        let says =
+    let false_refusal = history.calls.iter().find(|call| {
+        let is_refused_as_not_run =
             call.answers.iter().any(|answer| matches!(answer, Outcome::Refused(refused) if refused.not_run));
-        says && call.request.as_ref().is_some_and(|request| history.executed.contains(request))
+        is_refused_as_not_run
+            && call.request.as_ref().is_some_and(|request| history.executed.contains(request))
     })?;
-    Some(format!("request {:?} was refused as not run, but ran", lie.request))
+    Some(format!("request {:?} was refused as not run but was executed", false_refusal.request))
 }
 
 fn at_most_once(history: &History) -> Option<String> {
-    let (key, customers) = history.filings.iter().find(|(_, customers)| customers.len() > 1)?;
-    Some(format!("filing {key} was executed {} times", customers.len()))
+    let (key, customers) = history.submissions.iter().find(|(_, customers)| customers.len() > 1)?;
+    Some(format!("submission {key} was executed {} times", customers.len()))
 }
 
 fn leaving_left_alone(history: &History) -> Option<String> {
     history.confirmed.iter().find_map(|confirmed| {
         let Change::Drained(endpoint) = &confirmed.change else { return None };
         let starts = history.starts.get(endpoint)?;
-        let late = starts.iter().find(|at| **at > confirmed.at + SECONDS)?;
-        Some(format!("{endpoint} got work {:?} after it was drained", *late - confirmed.at))
+        let late_start = starts.iter().find(|at| **at > confirmed.at + PROPAGATION_TIMEOUT)?;
+        Some(format!("{endpoint} received work {:?} after it was drained", *late_start - confirmed.at))
     })
 }
 
 fn shutdown_cuts_nothing(history: &History) -> Option<String> {
     history.shutdowns.iter().find_map(|shutdown| {
         let cut = history.calls.iter().find(|call| {
-            let inside =
+            let spans_shutdown =
                 call.entry == shutdown.entry && call.began < shutdown.began && call.ended > shutdown.began;
             let is_cut =
                 |answer: &Outcome| matches!(answer, Outcome::Failed(_) | Outcome::Broken { told: false, .. });
-            inside && call.answers.iter().any(is_cut)
+            spans_shutdown && call.answers.iter().any(is_cut)
         })?;
         Some(format!(
-            "a request of {} was cut by the shutdown of entry {}: {:?}",
+            "a request of {} was interrupted by the shutdown of entry {}: {:?}",
             cut.tenant, cut.entry, cut.answers
         ))
     })
 }
 
 fn settings_stand(history: &History) -> Option<String> {
-    let reverted = history.versions.iter().find_map(|(process, seen)| {
-        let (_, pair) = seen.windows(2).map(|pair| (pair[0].1 > pair[1].1, pair)).find(|(back, _)| *back)?;
+    let reverted = history.versions.iter().find_map(|(process, samples)| {
+        let (_, pair) =
+            samples.windows(2).map(|pair| (pair[0].1 > pair[1].1, pair)).find(|(is_lower, _)| *is_lower)?;
         Some(format!("{process} went from version {} back to {}", pair[0].1, pair[1].1))
     });
     reverted.or_else(|| {
-        let newest =
-            history.confirmed.iter().filter(|c| history.ended > c.at + SECONDS).map(|c| c.version).max()?;
-        history.versions.iter().find_map(|(process, seen)| {
-            let (at, version) = seen.last()?;
-            let behind = *at + Duration::from_secs(1) > history.ended && *version < newest;
-            behind.then(|| format!("{process} still has version {version}, accepted was {newest}"))
+        let newest = history
+            .confirmed
+            .iter()
+            .filter(|c| history.ended > c.at + PROPAGATION_TIMEOUT)
+            .map(|c| c.version)
+            .max()?;
+        history.versions.iter().find_map(|(process, samples)| {
+            let (at, version) = samples.last()?;
+            let is_behind = *at + Duration::from_secs(1) > history.ended && *version < newest;
+            is_behind
+                .then(|| format!("{process} still has version {version}, but version {newest} was confirmed"))
         })
     })
 }
--- a/crates/bench/src/check/run.rs
+++ b/crates/bench/src/check/run.rs
@@ -1,4 +1,4 @@
-//! Carries one scenario out and records its history.
+//! Runs one scenario on a fleet and records its history.
 
 use std::{
     sync::{Arc, Mutex},
@@ -15,29 +15,30 @@
 
 use super::{
     history::{Call, Change, Confirmed, History, Sent, Shutdown},
-    promise::Promise,
+    invariant::Invariant,
     scenario::{ENTRIES, Fault, Scenario, Step, TENANTS},
 };
 use crate::{
     caller::{Caller, Completion, Outcome, Refused},
-    fleet::{Fleet, FleetError, MODEL, SERVICE, Shape, Tenant, dump, key_of},
+    fleet::{Fleet, FleetError, MODEL, SERVICE, Shape, Tenant, fetch_dump, key_of},
     standin::{POISON, decode, lock, prefill},
 };
 
-/// How long a fault lasts, if it ends by itself.
-const FAULT: Duration = Duration::from_millis(1_200);
-/// How often settings versions are sampled.
-const SAMPLE: Duration = Duration::from_millis(200);
-/// Longest wait for requests to end, and for memory to fall free afterwards.
-const SETTLE: Duration = Duration::from_secs(12);
-/// Rate and burst of each customer.
-const LIMITS: (u64, u64) = (4_000, 6_000);
+/// Duration of temporary faults.
+const FAULT_DURATION: Duration = Duration::from_millis(1_200);
+/// Interval between samples of the settings versions.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum wait for the decode engines to free their memory at the end of a run.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(12);
+/// Rate (tokens per second) and burst (tokens) of each customer.
+const TENANT_LIMITS: (u64, u64) = (4_000, 6_000);
 
-/// What is recorded while a run goes on.
+/// History of the run in progress.
 struct Recorder {
     began: Instant,
     history: Mutex<History>,
-    broken: Option<Promise>,
+    /// Invariant whose defect is injected.
+    defect: Option<Invariant>,
 }
 
 impl Recorder {
@@ -45,31 +46,31 @@
         self.began.elapsed()
     }
 
-    fn note(&self, write: impl FnOnce(&mut History)) {
+    fn update(&self, write: impl FnOnce(&mut History)) {
         write(&mut lock(&self.history));
     }
 }
 
-/// Runs a scenario with the defect `broken` planted, if any.
-pub async fn run(scenario: &Scenario, broken: Option<Promise>) -> Result<History, FleetError> {
-    let mut fleet = Fleet::start(shape()).await?;
-    plant(&mut fleet, broken);
-    let recorder = Arc::new(Recorder { began: Instant::now(), history: Mutex::default(), broken });
-    let sampler = task::spawn(sample(recorder.clone(), admins(&fleet)));
+/// Runs `scenario`, with the defect that violates `defect` if one is given, and returns its history.
+pub async fn run(scenario: &Scenario, defect: Option<Invariant>) -> Result<History, FleetError> {
+    let mut fleet = Fleet::start(fleet_shape()).await?;
+    inject_defect(&mut fleet, defect);
+    let recorder = Arc::new(Recorder { began: Instant::now(), history: Mutex::default(), defect });
+    let sampler = task::spawn(sample_versions(recorder.clone(), admin_addresses(&fleet)));
     let mut calls = Vec::new();
     for (number, step) in scenario.0.iter().enumerate() {
-        let call = carry_out(&mut fleet, &recorder, number, step).await?;
+        let call = execute_step(&mut fleet, &recorder, number, step).await?;
         calls.extend(call);
     }
-    if let Some(promise) = broken {
-        calls.extend(provoke(&mut fleet, &recorder, promise).await?);
+    if let Some(invariant) = defect {
+        calls.extend(trigger_defect(&mut fleet, &recorder, invariant).await?);
     }
     for call in calls {
         call.await;
     }
-    heal(&fleet);
-    settle(&fleet).await;
-    task::sleep(SAMPLE * 2).await;
+    clear_faults(&fleet);
+    wait_for_free_memory(&fleet).await;
+    task::sleep(SAMPLE_INTERVAL * 2).await;
     sampler.cancel().await;
     let mut history = std::mem::take(&mut *lock(&recorder.history));
     collect(&fleet, &recorder, &mut history);
@@ -77,8 +78,8 @@
     Ok(history)
 }
 
-fn shape() -> Shape {
-    let tenants = TENANTS.iter().map(|name| Tenant::new(name, LIMITS.0, LIMITS.1)).collect();
+fn fleet_shape() -> Shape {
+    let tenants = TENANTS.iter().map(|name| Tenant::new(name, TENANT_LIMITS.0, TENANT_LIMITS.1)).collect();
     Shape {
         entries: ENTRIES,
         prefill: 2,
@@ -95,33 +96,33 @@
     }
 }
 
-type Admins = Arc<Mutex<Vec<(String, std::net::SocketAddr)>>>;
+type AdminAddresses = Arc<Mutex<Vec<(String, std::net::SocketAddr)>>>;
 
-fn admins(fleet: &Fleet) -> Admins {
-    let admins = fleet.entries.iter().flatten().enumerate();
-    Arc::new(Mutex::new(admins.map(|(number, entry)| (format!("entry-{number}"), entry.admin())).collect()))
+fn admin_addresses(fleet: &Fleet) -> AdminAddresses {
+    let entries = fleet.entries.iter().flatten().enumerate();
+    Arc::new(Mutex::new(entries.map(|(number, entry)| (format!("entry-{number}"), entry.admin())).collect()))
 }
 
-async fn sample(recorder: Arc<Recorder>, admins: Admins) {
+async fn sample_versions(recorder: Arc<Recorder>, admin_addresses: AdminAddresses) {
     loop {
-        let known = lock(&admins).clone();
+        let known = lock(&admin_addresses).clone();
         for (name, admin) in known {
-            let Some(dump) = dump(admin).await else { continue };
+            let Some(dump) = fetch_dump(admin).await else { continue };
             let (Some(version), Some(process)) =
                 (dump["settings_version"].as_u64(), dump["incarnation"].as_str())
             else {
                 continue;
             };
             let at = recorder.now();
-            recorder.note(|history| {
+            recorder.update(|history| {
                 history.versions.entry(format!("{name} {process}")).or_default().push((at, version));
             });
         }
-        task::sleep(SAMPLE).await;
+        task::sleep(SAMPLE_INTERVAL).await;
     }
 }
 
-async fn carry_out(
+async fn execute_step(
     fleet: &mut Fleet,
     recorder: &Arc<Recorder>,
     number: usize,
@@ -139,12 +140,12 @@
             let completion = Completion { model: MODEL.into(), prompt, max_tokens: 8, stream: false };
             return Ok(complete(fleet, recorder, 0, *entry, completion));
         }
-        Step::Leave { tenant, entry } => return Ok(leave(fleet, *tenant, *entry, number)),
-        Step::File { tenant, entry, key } => return Ok(file(fleet, recorder, *tenant, *entry, *key)),
-        Step::Withdraw => withdraw(fleet, recorder).await,
-        Step::Race => race(fleet, recorder, number).await,
-        Step::Drain => drain(fleet, recorder).await,
-        Step::Fail(fault) => fail(fleet, recorder, *fault).await?,
+        Step::Disconnect { tenant, entry } => return Ok(disconnect(fleet, *tenant, *entry, number)),
+        Step::Submit { tenant, entry, key } => return Ok(submit(fleet, recorder, *tenant, *entry, *key)),
+        Step::Withdraw => withdraw_key(fleet, recorder).await,
+        Step::Race => change_concurrently(fleet, recorder, number).await,
+        Step::Drain => drain_host(fleet, recorder).await,
+        Step::Inject(fault) => inject_fault(fleet, recorder, *fault).await?,
         Step::Pause(millis) => task::sleep(Duration::from_millis(*millis)).await,
     }
     Ok(None)
@@ -184,15 +185,15 @@
     request: Option<String>,
 ) {
     let mut answers = vec![outcome];
-    if recorder.broken == Some(Promise::OneAnswer) {
+    if recorder.defect == Some(Invariant::OneAnswer) {
         answers.push(answers[0].clone());
     }
     let ended = recorder.now();
     let call = Call { tenant: TENANTS[tenant].into(), entry, sent, began, ended, answers, request };
-    recorder.note(|history| history.calls.push(call));
+    recorder.update(|history| history.calls.push(call));
 }
 
-fn leave(fleet: &Fleet, tenant: usize, entry: usize, number: usize) -> Option<JoinHandle<()>> {
+fn disconnect(fleet: &Fleet, tenant: usize, entry: usize, number: usize) -> Option<JoinHandle<()>> {
     let caller = Caller::new(fleet.entries[entry].as_ref()?.address(), key_of(TENANTS[tenant]));
     let prompt = format!("{} leaves early, {number}", TENANTS[tenant]);
     let completion = Completion { model: MODEL.into(), prompt, max_tokens: 400, stream: true };
@@ -201,7 +202,7 @@
     }))
 }
 
-fn file(
+fn submit(
     fleet: &Fleet,
     recorder: &Arc<Recorder>,
     tenant: usize,
@@ -222,46 +223,47 @@
             Err(error) => Outcome::from(error),
         };
         let request = request_of(&outcome);
-        let sent = Sent::Filing { key, body: body.to_string() };
+        let sent = Sent::Submission { key, body: body.to_string() };
         record(&recorder, tenant, entry, sent, began, outcome, request);
     }))
 }
 
-async fn change(fleet: &Fleet, recorder: &Recorder, intent: Intent, change: Change) {
+async fn confirm_change(fleet: &Fleet, recorder: &Recorder, intent: Intent, change: Change) {
     let Some(entry) = fleet.entries.iter().flatten().next() else { return };
     let client = Client::new(entry.admin(), None);
     let Ok(planned) = client.plan(&intent).await else { return };
     if let Ok(version) = client.confirm(&planned).await {
         let at = recorder.now();
-        recorder.note(|history| history.confirmed.push(Confirmed { change, at, version }));
+        recorder.update(|history| history.confirmed.push(Confirmed { change, at, version }));
     }
 }
 
-async fn withdraw(fleet: &Fleet, recorder: &Recorder) {
+async fn withdraw_key(fleet: &Fleet, recorder: &Recorder) {
     let tenant = TENANTS[TENANTS.len() - 1];
     let intent = Intent::WithdrawKey { id: format!("{tenant}-1").into(), running: WithdrawalPolicy::Cut };
-    change(fleet, recorder, intent, Change::Withdrawn(tenant.into())).await;
+    confirm_change(fleet, recorder, intent, Change::Withdrawn(tenant.into())).await;
 }
 
-async fn drain(fleet: &Fleet, recorder: &Recorder) {
+async fn drain_host(fleet: &Fleet, recorder: &Recorder) {
     let intent = Intent::DrainHost { host: "host-decode-0".into() };
-    change(fleet, recorder, intent, Change::Drained("decode-0".into())).await;
+    confirm_change(fleet, recorder, intent, Change::Drained("decode-0".into())).await;
 }
 
-/// Two operators plan on one version and confirm at once; at most one may win.
-async fn race(fleet: &Fleet, recorder: &Arc<Recorder>, number: usize) {
+/// Plans a change through each entry on the same settings version and confirms all at once. At most
+/// one may succeed.
+async fn change_concurrently(fleet: &Fleet, recorder: &Arc<Recorder>, number: usize) {
     let mut tasks = Vec::new();
     for (at, entry) in fleet.entries.iter().flatten().enumerate() {
         let client = Client::new(entry.admin(), None);
-        let burst = LIMITS.1 - 1 - (number * ENTRIES + at) as u64;
-        let intent = Intent::PutCustomer { name: TENANTS[1].into(), rate: LIMITS.0, burst, weight: 1 };
+        let burst = TENANT_LIMITS.1 - 1 - (number * ENTRIES + at) as u64;
+        let intent = Intent::PutCustomer { name: TENANTS[1].into(), rate: TENANT_LIMITS.0, burst, weight: 1 };
         let recorder = recorder.clone();
         tasks.push(task::spawn(async move {
             let Ok(planned) = client.plan(&intent).await else { return };
             if let Ok(version) = client.confirm(&planned).await {
                 let at = recorder.now();
                 let change = Change::Burst(burst);
-                recorder.note(|history| history.confirmed.push(Confirmed { change, at, version }));
+                recorder.update(|history| history.confirmed.push(Confirmed { change, at, version }));
             }
         }));
     }
@@ -270,8 +272,8 @@
     }
 }
 
-async fn fail(fleet: &mut Fleet, recorder: &Recorder, fault: Fault) -> Result<(), FleetError> {
-    recorder.note(|history| *history.faults.entry(fault).or_insert(0) += 1);
+async fn inject_fault(fleet: &mut Fleet, recorder: &Recorder, fault: Fault) -> Result<(), FleetError> {
+    recorder.update(|history| *history.faults.entry(fault).or_insert(0) += 1);
     match fault {
         Fault::EntryRestarted => {
             if let Some(entry) = fleet.entries[0].take() {
@@ -281,10 +283,10 @@
         }
         Fault::EntryShutdown => {
             let began = recorder.now();
-            recorder.note(|history| history.shutdowns.push(Shutdown { entry: 1, began }));
+            recorder.update(|history| history.shutdowns.push(Shutdown { entry: 1, began }));
             if let Some(entry) = fleet.entries[1].take() {
-                match recorder.broken {
-                    Some(Promise::ShutdownCutsNothing) => entry.kill().await,
+                match recorder.defect {
+                    Some(Invariant::ShutdownCutsNothing) => entry.kill().await,
                     _ => entry.shutdown().await,
                 }
             }
@@ -295,36 +297,36 @@
                 agent.kill().await;
             }
         }
-        Fault::DecodeCrash => for_a_while(&fleet.decode[0].switches, |switches, on| switches.set_down(on)),
-        Fault::PrefillCrash => for_a_while(&fleet.prefill[0].switches, |switches, on| switches.set_down(on)),
-        Fault::DecodeSilent => for_a_while(&fleet.decode[0].switches, |switches, on| switches.set_silent(on)),
-        Fault::TransferStalled => for_a_while(&fleet.prefill[0].switches, |switches, on| {
+        Fault::DecodeCrash => set_briefly(&fleet.decode[0].switches, |switches, on| switches.set_down(on)),
+        Fault::PrefillCrash => set_briefly(&fleet.prefill[0].switches, |switches, on| switches.set_down(on)),
+        Fault::DecodeSilent => set_briefly(&fleet.decode[0].switches, |switches, on| switches.set_silent(on)),
+        Fault::TransferStalled => set_briefly(&fleet.prefill[0].switches, |switches, on| {
             switches.set_slow(if on { Duration::from_millis(900) } else { Duration::ZERO });
         }),
-        Fault::TableDown => for_a_while(&fleet.table.switches, |switches, on| switches.set_down(on)),
-        Fault::TableSlow => for_a_while(&fleet.table.switches, |switches, on| {
+        Fault::TableDown => set_briefly(&fleet.table.switches, |switches, on| switches.set_down(on)),
+        Fault::TableSlow => set_briefly(&fleet.table.switches, |switches, on| {
             switches.set_slow(if on { Duration::from_millis(400) } else { Duration::ZERO });
         }),
         Fault::TableLosesAnswers => {
-            for_a_while(&fleet.table.switches, |switches, on| switches.set_lose(if on { 500 } else { 0 }));
+            set_briefly(&fleet.table.switches, |switches, on| switches.set_lose(if on { 500 } else { 0 }));
         }
         Fault::ServiceLosesAnswers => {
-            for_a_while(&fleet.plain[0].switches, |switches, on| switches.set_lose(if on { 500 } else { 0 }));
+            set_briefly(&fleet.plain[0].switches, |switches, on| switches.set_lose(if on { 500 } else { 0 }));
         }
     }
     Ok(())
 }
 
-fn for_a_while(switches: &Arc<crate::standin::Switches>, set: fn(&crate::standin::Switches, bool)) {
+fn set_briefly(switches: &Arc<crate::standin::Switches>, set: fn(&crate::standin::Switches, bool)) {
     let switches = switches.clone();
     set(&switches, true);
     task::spawn(async move {
-        task::sleep(FAULT).await;
+        task::sleep(FAULT_DURATION).await;
         set(&switches, false);
     });
 }
 
-fn heal(fleet: &Fleet) {
+fn clear_faults(fleet: &Fleet) {
     let engines = fleet.prefill.iter().map(|engine| &engine.switches);
     let all =
         engines.chain(fleet.decode.iter().map(|engine| &engine.switches)).chain([&fleet.table.switches]);
@@ -335,25 +337,25 @@
     }
 }
 
-/// Waits until the engines' memory is free, or until it has had time enough.
-async fn settle(fleet: &Fleet) {
+/// Waits up to [`SETTLE_TIMEOUT`] until the decode engines have freed their memory.
+async fn wait_for_free_memory(fleet: &Fleet) {
     let began = Instant::now();
-    while began.elapsed() < SETTLE && fleet.decode.iter().any(|engine| engine.memory().0 > 0) {
+    while began.elapsed() < SETTLE_TIMEOUT && fleet.decode.iter().any(|engine| engine.memory().0 > 0) {
         task::sleep(Duration::from_millis(50)).await;
     }
 }
 
 fn collect(fleet: &Fleet, recorder: &Recorder, history: &mut History) {
     history.ended = recorder.now();
-    history.pieces_left = fleet.decode.iter().map(|engine| engine.memory().0).sum();
+    history.pieces_in_use = fleet.decode.iter().map(|engine| engine.memory().0).sum();
     for tenant in TENANTS {
-        history.limits.insert(tenant.into(), LIMITS);
+        history.limits.insert(tenant.into(), TENANT_LIMITS);
     }
     for service in &fleet.plain {
         for execution in service.log() {
             history.key_seen |= execution.key_seen;
             history.executed.insert(execution.request);
-            history.filings.entry(execution.idempotency_key).or_default().push(execution.customer);
+            history.submissions.entry(execution.idempotency_key).or_default().push(execution.customer);
         }
     }
     let engines = fleet.prefill.iter().map(|engine| (Role::Prefill, &engine.starts));
@@ -374,21 +376,21 @@
     }
 }
 
-/// Plants a defect where the promise's own guard cannot see it.
-fn plant(fleet: &mut Fleet, broken: Option<Promise>) {
-    match broken {
-        Some(Promise::MemoryFreed) => fleet.decode.iter().for_each(|engine| engine.switches.set_defect(true)),
-        Some(Promise::WholeAnswer) => {
+/// Injects a defect that the router cannot detect, so that only the checker can.
+fn inject_defect(fleet: &mut Fleet, defect: Option<Invariant>) {
+    match defect {
+        Some(Invariant::MemoryFreed) => fleet.decode.iter().for_each(|e| e.switches.set_defect(true)),
+        Some(Invariant::WholeAnswer) => {
             fleet.decode.iter().for_each(|engine| engine.switches.set_crossed(true))
         }
-        Some(Promise::AtMostOnce) => fleet.plain.iter().for_each(|service| service.switches.set_defect(true)),
-        Some(Promise::KeyHonoured) => {
+        Some(Invariant::AtMostOnce) => fleet.plain.iter().for_each(|s| s.switches.set_defect(true)),
+        Some(Invariant::KeyHonoured) => {
             let key = format!("settings/key/{}", tarragonhill_core::settings::digest(&key_of(TENANTS[0])));
             let value = json!({ "id": "crossed", "customer": TENANTS[1] });
             fleet.table.put([(key, value), ("settings/version".into(), json!(2))]);
         }
-        Some(Promise::WithinRate) => {
-            let value = json!({ "rate": LIMITS.0 * 50, "burst": LIMITS.1 * 50 });
+        Some(Invariant::WithinRate) => {
+            let value = json!({ "rate": TENANT_LIMITS.0 * 50, "burst": TENANT_LIMITS.1 * 50 });
             fleet.table.put([
                 (format!("settings/customer/{}", TENANTS[0]), value),
                 ("settings/version".into(), json!(2)),
@@ -398,15 +400,16 @@
     }
 }
 
-/// Makes sure that the planted defect gets its occasion, whatever the scenario holds.
-async fn provoke(
+/// Sends requests or records events so that the injected defect shows in the history, independently
+/// of the scenario.
+async fn trigger_defect(
     fleet: &mut Fleet,
     recorder: &Arc<Recorder>,
-    promise: Promise,
+    invariant: Invariant,
 ) -> Result<Vec<JoinHandle<()>>, FleetError> {
-    // Whatever the scenario has broken must not hide the defect.
-    heal(fleet);
-    task::sleep(FAULT * 2).await;
+    // Faults of the scenario must not hide the defect.
+    clear_faults(fleet);
+    task::sleep(FAULT_DURATION * 2).await;
     let mut calls = Vec::new();
     let completion = |words: usize, tokens: u32| Completion {
         model: MODEL.into(),
@@ -414,56 +417,56 @@
         max_tokens: tokens,
         stream: true,
     };
-    match promise {
-        Promise::MemoryFreed => calls.extend(leave(fleet, 0, 1, 1_000)),
-        Promise::OneAnswer | Promise::WholeAnswer => {
+    match invariant {
+        Invariant::MemoryFreed => calls.extend(disconnect(fleet, 0, 1, 1_000)),
+        Invariant::OneAnswer | Invariant::WholeAnswer => {
             calls.extend(complete(fleet, recorder, 0, 1, completion(1, 8)))
         }
-        Promise::KeyHonoured | Promise::AtMostOnce => {
-            // Several, since the scenario may have spent what the customer has.
+        Invariant::KeyHonoured | Invariant::AtMostOnce => {
+            // Several, as the scenario may have used up the customer's rate tokens.
             for key in 0..8 {
-                calls.extend(file(fleet, recorder, 0, 1, 9 + key));
-                task::sleep(FAULT / 2).await;
+                calls.extend(submit(fleet, recorder, 0, 1, 9 + key));
+                task::sleep(FAULT_DURATION / 2).await;
             }
         }
-        Promise::WithinRate => {
+        Invariant::WithinRate => {
             for number in 0..8 {
                 calls.extend(complete(fleet, recorder, 0, 1, completion(2_000 + number, 4)));
             }
         }
-        Promise::NotRunTrue => lie(recorder),
-        Promise::LeavingLeftAlone => {
+        Invariant::NotRunTrue => record_false_refusal(recorder),
+        Invariant::LeavingLeftAlone => {
             let (change, at) = (Change::Drained("prefill-0".into()), Duration::ZERO);
-            recorder.note(|history| history.confirmed.push(Confirmed { change, at, version: 0 }));
+            recorder.update(|history| history.confirmed.push(Confirmed { change, at, version: 0 }));
             task::sleep(Duration::from_secs(8)).await;
             for number in 0..12 {
                 calls.extend(complete(fleet, recorder, 1, 1, completion(number, 2)));
             }
         }
-        Promise::ShutdownCutsNothing => {
+        Invariant::ShutdownCutsNothing => {
             calls.extend(complete(fleet, recorder, 0, 1, completion(1, 400)));
             task::sleep(Duration::from_millis(300)).await;
-            fail(fleet, recorder, Fault::EntryShutdown).await?;
+            inject_fault(fleet, recorder, Fault::EntryShutdown).await?;
         }
-        Promise::SettingsStand => recorder.note(|history| {
+        Invariant::SettingsStand => recorder.update(|history| {
             let at = recorder.began.elapsed();
-            history.versions.insert("planted".into(), vec![(at, 7), (at, 6)]);
+            history.versions.insert("injected".into(), vec![(at, 7), (at, 6)]);
         }),
     }
     Ok(calls)
 }
 
-/// Records a refusal that claims "not run" for a request that an engine ran.
-fn lie(recorder: &Recorder) {
+/// Records a refusal with `not_run` for a request that was executed.
+fn record_false_refusal(recorder: &Recorder) {
     let refused = Refused {
         status: 503,
         code: "overloaded".into(),
         not_run: true,
         retry_after: None,
-        request: "planted".into(),
+        request: "injected".into(),
     };
     let completion =
-        Completion { model: MODEL.into(), prompt: "planted".into(), max_tokens: 1, stream: false };
+        Completion { model: MODEL.into(), prompt: "injected".into(), max_tokens: 1, stream: false };
     let now = recorder.now();
     record(
         recorder,
@@ -472,9 +475,9 @@
         Sent::Completion(completion),
         now,
         Outcome::Refused(refused),
-        Some("planted".into()),
+        Some("injected".into()),
     );
-    recorder.note(|history| {
-        history.executed.insert("planted".into());
+    recorder.update(|history| {
+        history.executed.insert("injected".into());
     });
 }
--- a/crates/bench/src/check/scenario.rs
+++ b/crates/bench/src/check/scenario.rs
@@ -1,87 +1,86 @@
-//! What happens in one run: generated and shrunk by quickcheck.
+//! Scenarios of random steps, generated and shrunk by quickcheck.
 
 use quickcheck::{Arbitrary, Gen};
 use strum::{Display, EnumIter, EnumString, IntoEnumIterator as _};
 
-/// Entries of a run.
+/// Number of entries in a run.
 pub const ENTRIES: usize = 2;
-/// Customers of a run.
+/// Names of the customers in a run.
 pub const TENANTS: [&str; 3] = ["faculty", "grants", "members"];
-/// Steps of a run at most.
-const STEPS: usize = 24;
+const STEPS_PER_SCENARIO: usize = 24;
 
-/// A failure of the brief that a run can bring about.
+/// Fault that a run can inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display, EnumString, EnumIter)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Fault {
-    /// An entry's process dies and comes back empty.
+    /// An entry crashes and restarts without state.
     EntryRestarted,
-    /// An entry is shut down gracefully and comes back.
+    /// An entry shuts down gracefully and restarts.
     EntryShutdown,
-    /// An agent's process dies.
+    /// An agent crashes and does not restart.
     AgentKilled,
-    /// A decode engine crashes and comes back.
+    /// A decode engine crashes and restarts.
     DecodeCrash,
-    /// A prefill engine crashes and comes back.
+    /// A prefill engine crashes and restarts.
     PrefillCrash,
-    /// A decode engine's connections go silent for a while.
+    /// A decode engine temporarily sends nothing on its open connections.
     DecodeSilent,
-    /// Transfers stall.
+    /// Transfers from a prefill engine are temporarily slow.
     TransferStalled,
-    /// The table is down for a while.
+    /// The table is temporarily down.
     TableDown,
-    /// The table is slow for a while.
+    /// The table is temporarily slow.
     TableSlow,
-    /// The table's answers to writes are lost for a while.
+    /// Responses of the table to writes are temporarily lost.
     TableLosesAnswers,
-    /// The plain service's answers are lost for a while.
+    /// Responses of the plain service are temporarily lost.
     ServiceLosesAnswers,
 }
 
-/// One step of a run.
+/// Step of a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A caller asks for a completion.
+    /// A caller requests a completion.
     Complete {
-        /// Which customer.
+        /// Index into [`TENANTS`].
         tenant: usize,
-        /// Through which entry.
+        /// Index of the entry.
         entry: usize,
-        /// Most tokens.
+        /// Maximum number of answer tokens.
         tokens: u32,
-        /// Whether it streams.
+        /// Whether the answer is streamed.
         stream: bool,
     },
-    /// A caller leaves after a few tokens.
-    Leave {
-        /// Which customer.
+    /// A caller disconnects after a few tokens.
+    Disconnect {
+        /// Index into [`TENANTS`].
         tenant: usize,
-        /// Through which entry.
+        /// Index of the entry.
         entry: usize,
     },
-    /// A caller files something under an idempotency key that others may use too.
-    File {
-        /// Which customer.
+    /// A caller calls the plain service with an idempotency key, possibly one used before.
+    Submit {
+        /// Index into [`TENANTS`].
         tenant: usize,
-        /// Through which entry.
+        /// Index of the entry.
         entry: usize,
-        /// Which key.
+        /// Index of the idempotency key.
         key: usize,
     },
-    /// A caller sends a request that crashes every engine it runs on.
+    /// A caller sends a request that crashes every engine that executes it.
     Poison {
-        /// Through which entry.
+        /// Index of the entry.
         entry: usize,
     },
     /// An operator withdraws the key of the last customer.
     Withdraw,
-    /// Two operators change one customer at once.
+    /// Two operators change the same customer concurrently.
     Race,
     /// An operator drains the host of the first decode engine.
     Drain,
-    /// Something fails.
-    Fail(Fault),
-    /// Time passes, milliseconds.
+    /// A fault is injected.
+    Inject(Fault),
+    /// No step happens for this many milliseconds.
     Pause(u64),
 }
 
@@ -95,43 +94,43 @@
                 let tokens = u32::from(u8::arbitrary(g)) % 60 + 2;
                 Self::Complete { tenant, entry, tokens, stream: bool::arbitrary(g) }
             }
-            12..=13 => Self::Leave { tenant, entry },
-            14..=19 => Self::File { tenant, entry, key: usize::arbitrary(g) % 4 },
+            12..=13 => Self::Disconnect { tenant, entry },
+            14..=19 => Self::Submit { tenant, entry, key: usize::arbitrary(g) % 4 },
             20 => Self::Poison { entry },
             21 => Self::Withdraw,
             22 => Self::Race,
             23 => Self::Drain,
-            24..=27 => g.choose(&faults).map_or(Self::Pause(10), |fault| Self::Fail(*fault)),
+            24..=27 => g.choose(&faults).map_or(Self::Pause(10), |fault| Self::Inject(*fault)),
             _ => Self::Pause(u64::from(u8::arbitrary(g))),
         }
     }
 }
 
-/// A whole run.
+/// Steps of one run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scenario(pub Vec<Step>);
 
 impl Arbitrary for Scenario {
     fn arbitrary(g: &mut Gen) -> Self {
-        let steps = (0..STEPS).map(|_| Step::arbitrary(g)).collect();
+        let steps = (0..STEPS_PER_SCENARIO).map(|_| Step::arbitrary(g)).collect();
         Self(steps)
     }
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
-        // Steps need no shrinking of their own; the order and number of them is what matters.
+        // Only the number and order of steps are shrunk, not the steps themselves.
         let steps = self.0.clone();
         let halves = [steps[..steps.len() / 2].to_vec(), steps[steps.len() / 2..].to_vec()];
         let without = (0..steps.len()).map(move |at| {
-            let mut fewer = steps.clone();
-            fewer.remove(at);
-            fewer
+            let mut remaining = steps.clone();
+            remaining.remove(at);
+            remaining
         });
         Box::new(halves.into_iter().chain(without).filter(|steps| !steps.is_empty()).map(Self))
     }
 }
 
-/// The scenarios of a seed.
+/// Generates `count` scenarios from `seed`.
 pub fn scenarios(seed: u64, count: usize) -> Vec<Scenario> {
-    let mut generator = Gen::from_size_and_seed(STEPS, seed);
+    let mut generator = Gen::from_size_and_seed(STEPS_PER_SCENARIO, seed);
     (0..count).map(|_| Scenario::arbitrary(&mut generator)).collect()
 }
--- a/crates/bench/src/cmd.rs
+++ b/crates/bench/src/cmd.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one module each.
+//! Subcommands of `tarragonhill-bench`, one module each.
 
 pub mod check;
 pub mod demo;
--- a/crates/bench/src/cmd/check.rs
+++ b/crates/bench/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `check`: concurrent runs with random faults; every promise checked on every history.
+//! `check`: runs random scenarios with faults and checks every invariant on each history.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,125 +11,132 @@
 use crate::{
     check::{
         history::History,
-        promise::Promise,
+        invariant::Invariant,
         run::run,
         scenario::{Scenario, scenarios},
     },
     fleet::FleetError,
 };
 
-/// Tries to make a violating scenario shorter.
-const SHRINKS: usize = 40;
+/// Maximum number of runs spent on shrinking a scenario that violates an invariant.
+const MAX_SHRINK_RUNS: usize = 40;
 
 /// Options of `check`.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Options {
-    /// Seed of the scenarios
+    /// Seed of the random scenarios
     #[bpaf(long, argument("N"), fallback(1), display_fallback)]
     pub seed: u64,
     /// Number of runs
     #[bpaf(long, argument("R"), fallback(20), display_fallback)]
     pub runs: usize,
-    /// Runs at once
+    /// Number of concurrent runs
     #[bpaf(long, argument("N"), fallback(6), display_fallback)]
     pub at_once: usize,
-    /// Plant the defect of one promise, which its checker must catch; `help` lists them
+    /// Inject a defect that violates one invariant, to test its checker; `help` lists the names
     #[bpaf(long("break"), argument("NAME"), optional)]
-    pub broken: Option<String>,
+    pub defect: Option<String>,
 }
 
-/// One violation.
 struct Violation {
-    promise: Promise,
-    what: String,
+    invariant: Invariant,
+    details: String,
     scenario: Scenario,
 }
 
-/// Runs and checks; true if nothing was violated.
+/// Runs and checks scenarios. Returns true if no invariant was violated.
 pub async fn execute(options: Options) -> Result<bool, FleetError> {
-    let broken = match options.broken.as_deref() {
+    let defect = match options.defect.as_deref() {
         Some("help") => {
-            Promise::iter().for_each(|promise| println!("{promise}"));
+            Invariant::iter().for_each(|invariant| println!("{invariant}"));
             return Ok(true);
         }
         Some(name) => match name.parse() {
-            Ok(promise) => Some(promise),
+            Ok(invariant) => Some(invariant),
             Err(_) => {
-                eprintln!("--break {name}: no such promise; --break help lists them");
+                eprintln!("--break {name}: unknown invariant; `--break help` lists the names");
                 return Ok(false);
             }
         },
         None => None,
     };
-    let all = scenarios(options.seed, options.runs);
+    let scenarios = scenarios(options.seed, options.runs);
     let (mut violations, mut faults) = (Vec::new(), BTreeMap::new());
-    let mut done = 0;
-    for some in all.chunks(options.at_once.max(1)) {
-        let tasks: Vec<_> =
-            some.iter().cloned().map(|scenario| task::spawn(one(Arc::new(scenario), broken))).collect();
+    let mut completed = 0;
+    for batch in scenarios.chunks(options.at_once.max(1)) {
+        let tasks: Vec<_> = batch
+            .iter()
+            .cloned()
+            .map(|scenario| task::spawn(run_scenario(Arc::new(scenario), defect)))
+            .collect();
         for task in tasks {
             let (scenario, history) = task.await?;
-            done += 1;
+            completed += 1;
             for (fault, count) in &history.faults {
                 *faults.entry(fault.to_string()).or_insert(0) += count;
             }
-            for violation in check(&scenario, &history) {
-                eprintln!("{}: {}", violation.promise, violation.what);
+            for violation in find_violations(&scenario, &history) {
+                eprintln!("{}: {}", violation.invariant, violation.details);
                 violations.push(violation);
             }
         }
-        eprintln!("{done} of {} histories, {} violations", all.len(), violations.len());
+        eprintln!("{completed} of {} histories, {} violations", scenarios.len(), violations.len());
     }
-    if broken.is_none()
+    if defect.is_none()
         && let Some(first) = violations.first()
     {
-        shorten(first).await?;
+        minimize(first).await?;
     }
-    report(done, &violations, &faults);
+    print_report(completed, &violations, &faults);
     Ok(violations.is_empty())
 }
 
-async fn one(scenario: Arc<Scenario>, broken: Option<Promise>) -> Result<(Scenario, History), FleetError> {
-    let history = run(&scenario, broken).await?;
+async fn run_scenario(
+    scenario: Arc<Scenario>,
+    defect: Option<Invariant>,
+) -> Result<(Scenario, History), FleetError> {
+    let history = run(&scenario, defect).await?;
     Ok(((*scenario).clone(), history))
 }
 
-fn check(scenario: &Scenario, history: &History) -> Vec<Violation> {
-    let broken = Promise::iter().filter_map(|promise| Some((promise, promise.check(history)?)));
-    broken.map(|(promise, what)| Violation { promise, what, scenario: scenario.clone() }).collect()
+fn find_violations(scenario: &Scenario, history: &History) -> Vec<Violation> {
+    let violations = Invariant::iter().filter_map(|invariant| Some((invariant, invariant.check(history)?)));
+    violations
+        .map(|(invariant, details)| Violation { invariant, details, scenario: scenario.clone() })
+        .collect()
 }
 
-/// Runs ever shorter scenarios as long as they break the same promise, and prints the shortest.
-async fn shorten(violation: &Violation) -> Result<(), FleetError> {
+/// Shrinks the scenario while it violates the same invariant, and prints the shortest one found.
+async fn minimize(violation: &Violation) -> Result<(), FleetError> {
     let mut shortest = violation.scenario.clone();
-    let mut left = SHRINKS;
+    let mut remaining = MAX_SHRINK_RUNS;
     'shorter: loop {
         for candidate in shortest.shrink() {
-            if left == 0 {
+            if remaining == 0 {
                 break 'shorter;
             }
-            left -= 1;
+            remaining -= 1;
             let history = run(&candidate, None).await?;
-            if violation.promise.check(&history).is_some() {
+            if violation.invariant.check(&history).is_some() {
                 shortest = candidate;
                 continue 'shorter;
             }
         }
         break;
     }
-    println!("{} is broken: {}", violation.promise, violation.what);
+    println!("{} is violated: {}", violation.invariant, violation.details);
     println!("shortest scenario found, {} steps:", shortest.0.len());
     shortest.0.iter().for_each(|step| println!("  {step:?}"));
     Ok(())
 }
 
-fn report(done: usize, violations: &[Violation], faults: &BTreeMap<String, usize>) {
-    let mut by_promise: BTreeMap<String, usize> = BTreeMap::new();
+fn print_report(completed: usize, violations: &[Violation], faults: &BTreeMap<String, usize>) {
+    let mut by_invariant: BTreeMap<String, usize> = BTreeMap::new();
     for violation in violations {
-        *by_promise.entry(violation.promise.to_string()).or_insert(0) += 1;
+        *by_invariant.entry(violation.invariant.to_string()).or_insert(0) += 1;
     }
     println!(
         "{}",
-        json!({ "histories": done, "violations": violations.len(), "by_promise": by_promise, "faults": faults })
+        json!({ "histories": completed, "violations": violations.len(), "by_promise": by_invariant, "faults": faults })
     );
 }
--- a/crates/bench/src/cmd/measure.rs
+++ b/crates/bench/src/cmd/measure.rs
@@ -1,4 +1,4 @@
-//! `measure`: the three measures of the brief for each policy, on one seed in one run.
+//! `measure`: runs each placement policy on the same synthetic load and prints its scores.
 
 use std::{
     sync::Arc,
@@ -14,32 +14,32 @@
 use crate::{
     caller::Caller,
     fleet::{Fleet, FleetError, key_of},
-    score::{Done, Score},
-    workload::{Arrival, Deployment, arrivals, deployment},
+    score::{Record, Score},
+    workload::{Arrival, Deployment, arrivals, parse_deployment},
 };
 
-/// Time for the fleet to come to rest before load begins.
-const SETTLE: Duration = Duration::from_millis(500);
-/// Part of the run after which a fault strikes.
-const FAULT_AT: f64 = 0.4;
-/// How long a fault lasts, if it ends by itself.
-const FAULT_LASTS: Duration = Duration::from_secs(4);
+/// Delay between the start of the fleet and the first request.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
+/// Fraction of the run after which the fault is injected.
+const FAULT_START: f64 = 0.4;
+/// Duration of temporary faults.
+const FAULT_DURATION: Duration = Duration::from_secs(4);
 
-/// A failure brought about in the middle of a run.
+/// Fault injected during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Fault {
-    /// None.
+    /// No fault.
     None,
-    /// The table is down until the end.
+    /// The table is down until the end of the run.
     TableDown,
-    /// One entry dies; the balancer sends its callers to the others.
+    /// One entry crashes and the load balancer sends its requests to the others.
     EntryKilled,
-    /// One decode engine's process dies and comes back.
+    /// One decode engine crashes and restarts.
     DecodeCrash,
-    /// One prefill engine's process dies and comes back.
+    /// One prefill engine crashes and restarts.
     PrefillCrash,
-    /// The balancer sends all callers to one entry.
+    /// The load balancer sends all requests to one entry.
     Uneven,
 }
 
@@ -47,40 +47,41 @@
 #[derive(Clone, Debug, Bpaf)]
 pub struct Options {
     /// blue-mahoe or cascade
-    #[bpaf(long, argument::<String>("NAME"), parse(|name| deployment(&name)))]
+    #[bpaf(long, argument::<String>("NAME"), parse(|name| parse_deployment(&name)))]
     pub deployment: Deployment,
     /// Seed of the offered load
     #[bpaf(long, argument("N"), fallback(1), display_fallback)]
     pub seed: u64,
-    /// Length of the load, seconds
+    /// Duration of the load, seconds
     #[bpaf(long, argument("S"), fallback(20), display_fallback)]
     pub seconds: u64,
-    /// Offered load; at 1 all customers but one keep within their rates
+    /// Factor on the request rates; at 1 all customers but one stay within their rates
     #[bpaf(long, argument("X"), fallback(1.0), display_fallback)]
     pub load: f64,
     /// current, hold-first, least-loaded, round-robin or all
-    #[bpaf(long, argument::<String>("NAME"), parse(|name| policies(&name)), fallback(Policy::iter().collect()))]
+    #[bpaf(long, argument::<String>("NAME"), parse(|name| parse_policies(&name)), fallback(Policy::iter().collect()))]
     pub policy: Vec<Policy>,
     /// none, table-down, entry-killed, decode-crash, prefill-crash or uneven
     #[bpaf(long, argument("NAME"), fallback(Fault::None), display_fallback)]
     pub fault: Fault,
 }
 
-fn policies(name: &str) -> Result<Vec<Policy>, String> {
+fn parse_policies(name: &str) -> Result<Vec<Policy>, String> {
     match name {
         "all" => Ok(Policy::iter().collect()),
-        _ => name.parse().map(|policy| vec![policy]).map_err(|_| format!("{name:?} is not a policy")),
+        _ => name.parse().map(|policy| vec![policy]).map_err(|_| format!("unknown policy {name:?}")),
     }
 }
 
-/// Runs each policy on the same load; true if nothing was violated.
+/// Runs each policy on the same load. Returns true if no answer was wrong and no customer exceeded its
+/// rate limit.
 pub async fn execute(options: Options) -> Result<bool, FleetError> {
     let length = Duration::from_secs(options.seconds);
     let load = arrivals(options.deployment, options.seed, length, options.load);
-    let mut clean = true;
+    let mut is_clean = true;
     for policy in &options.policy {
-        let score = run(&options, *policy, &load).await?;
-        clean &= score.violations == 0 && score.over_limit == 0;
+        let score = run_policy(&options, *policy, &load).await?;
+        is_clean &= score.violations == 0 && score.over_limit == 0;
         let mut line = score.json();
         line["policy"] = json!(policy.to_string());
         line["deployment"] = json!(options.deployment.to_string());
@@ -89,10 +90,10 @@
         line["fault"] = json!(options.fault.to_string());
         println!("{line}");
     }
-    Ok(clean)
+    Ok(is_clean)
 }
 
-async fn run(options: &Options, policy: Policy, load: &[Arrival]) -> Result<Score, FleetError> {
+async fn run_policy(options: &Options, policy: Policy, load: &[Arrival]) -> Result<Score, FleetError> {
     let shape = options.deployment.shape(policy);
     let tenants = shape.tenants.clone();
     let mut fleet = Fleet::start(shape).await?;
@@ -100,7 +101,7 @@
     fleet.prefill.iter().for_each(|engine| engine.switches.set_slow(delay));
     fleet.decode.iter().for_each(|engine| engine.switches.set_slow(delay));
     fleet.table.switches.set_slow(2 * delay);
-    task::sleep(SETTLE).await;
+    task::sleep(SETTLE_TIME).await;
 
     let addresses: Vec<_> = fleet.entries.iter().flatten().map(|entry| entry.address()).collect();
     let callers: Vec<Vec<Arc<Caller>>> = addresses
@@ -108,16 +109,16 @@
         .map(|address| tenants.iter().map(|t| Arc::new(Caller::new(*address, key_of(&t.name)))).collect())
         .collect();
     let began = Instant::now();
-    let fault_at = Duration::from_secs_f64(options.seconds as f64 * FAULT_AT);
-    let mut struck = false;
+    let fault_at = Duration::from_secs_f64(options.seconds as f64 * FAULT_START);
+    let mut is_injected = false;
     let mut tasks = Vec::new();
     for arrival in load {
-        if !struck && arrival.at >= fault_at {
-            strike(&mut fleet, options.fault).await;
-            struck = true;
+        if !is_injected && arrival.at >= fault_at {
+            inject_fault(&mut fleet, options.fault).await;
+            is_injected = true;
         }
         task::sleep((began + arrival.at).saturating_duration_since(Instant::now())).await;
-        let entry = match (options.fault, struck) {
+        let entry = match (options.fault, is_injected) {
             (Fault::Uneven, _) => 0,
             (Fault::EntryKilled, true) => 1 + arrival.entry % 2,
             _ => arrival.entry,
@@ -126,19 +127,19 @@
         let arrival = arrival.clone();
         tasks.push(task::spawn(async move {
             let timed = caller.complete(&arrival.completion).await;
-            Done { arrival, timed }
+            Record { arrival, timed }
         }));
     }
-    let mut done = Vec::new();
+    let mut records = Vec::new();
     for task in tasks {
-        done.push(task.await);
+        records.push(task.await);
     }
-    let score = Score::of(&done, &fleet, &tenants);
+    let score = Score::of(&records, &fleet, &tenants);
     fleet.stop().await;
     Ok(score)
 }
 
-async fn strike(fleet: &mut Fleet, fault: Fault) {
+async fn inject_fault(fleet: &mut Fleet, fault: Fault) {
     match fault {
         Fault::None | Fault::Uneven => {}
         Fault::TableDown => fleet.table.switches.set_down(true),
@@ -147,16 +148,16 @@
                 entry.kill().await;
             }
         }
-        Fault::DecodeCrash => restart_later(&fleet.decode[0].switches),
-        Fault::PrefillCrash => restart_later(&fleet.prefill[0].switches),
+        Fault::DecodeCrash => crash_briefly(&fleet.decode[0].switches),
+        Fault::PrefillCrash => crash_briefly(&fleet.prefill[0].switches),
     }
 }
 
-fn restart_later(switches: &Arc<crate::standin::Switches>) {
+fn crash_briefly(switches: &Arc<crate::standin::Switches>) {
     let switches = switches.clone();
     switches.set_down(true);
     task::spawn(async move {
-        task::sleep(FAULT_LASTS).await;
+        task::sleep(FAULT_DURATION).await;
         switches.set_down(false);
     });
 }
--- a/crates/bench/src/cmd/overhead.rs
+++ b/crates/bench/src/cmd/overhead.rs
@@ -1,4 +1,4 @@
-//! `overhead`: the time that entry and agent add to a small request, and what they cost.
+//! `overhead`: measures the latency and processor time that entry and agent add to a small request.
 
 use std::{
     net::SocketAddr,
@@ -18,30 +18,30 @@
     usage::cpu_time,
 };
 
-/// Longest wait for one answer.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Requests sent before anything is counted.
-const WARM_UP: usize = 500;
+/// Maximum wait for an answer.
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// Requests sent before the measurement starts.
+const WARM_UP_REQUESTS: usize = 500;
 
 /// Options of `overhead`.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Options {
-    /// Requests measured, each way
+    /// Number of requests, direct and routed
     #[bpaf(long, argument("N"), fallback(20_000), display_fallback)]
     pub requests: usize,
-    /// Callers at once
+    /// Number of concurrent callers
     #[bpaf(long, argument("N"), fallback(32), display_fallback)]
     pub callers: usize,
 }
 
-/// One side of the comparison.
-struct Side {
+/// Latencies (microseconds) and resource usage of the requests on one path.
+struct Measurement {
     latency: Histogram<u64>,
     cpu: Duration,
     wall: Duration,
 }
 
-/// Measures the same small call directly and through the router.
+/// Sends the same small call directly and through the router, and prints the difference.
 pub async fn execute(options: Options) -> Result<bool, FleetError> {
     let mut shape = Shape::small();
     (shape.entries, shape.prefill, shape.decode, shape.plain) = (1, 1, 1, 1);
@@ -55,41 +55,45 @@
         let call = Call::get(format!("/v1/services/{SERVICE}/records/7"));
         (routed_to, call.header("authorization", format!("Bearer {}", key_of("caller"))))
     };
-    run(WARM_UP, options.callers, direct).await;
-    run(WARM_UP, options.callers, routed).await;
-    let base = run(options.requests, options.callers, direct).await;
-    let through = run(options.requests, options.callers, routed).await;
+    send_requests(WARM_UP_REQUESTS, options.callers, direct).await;
+    send_requests(WARM_UP_REQUESTS, options.callers, routed).await;
+    let direct_result = send_requests(options.requests, options.callers, direct).await;
+    let routed_result = send_requests(options.requests, options.callers, routed).await;
     fleet.stop().await;
-    report(&options, &base, &through);
+    print_report(&options, &direct_result, &routed_result);
     Ok(true)
 }
 
-async fn run<F>(requests: usize, callers: usize, make: F) -> Side
+async fn send_requests<F>(requests: usize, callers: usize, make_call: F) -> Measurement
 where
     F: Fn() -> (SocketAddr, Call) + Send + Sync + Copy + 'static,
 {
     let pool = Arc::new(Pool::default());
     let (began, cpu) = (Instant::now(), cpu_time());
-    let each = requests / callers.max(1);
+    let requests_per_caller = requests / callers.max(1);
     let tasks: Vec<_> = (0..callers)
         .map(|_| {
             let pool = pool.clone();
-            task::spawn(async move { one_caller(&pool, each, make).await })
+            task::spawn(async move { send_sequentially(&pool, requests_per_caller, make_call).await })
         })
         .collect();
     let mut latency = new_histogram();
     for task in tasks {
         let _ = latency.add(task.await);
     }
-    Side { latency, cpu: cpu_time().saturating_sub(cpu), wall: began.elapsed() }
+    Measurement { latency, cpu: cpu_time().saturating_sub(cpu), wall: began.elapsed() }
 }
 
-async fn one_caller(pool: &Pool, requests: usize, make: impl Fn() -> (SocketAddr, Call)) -> Histogram<u64> {
+async fn send_sequentially(
+    pool: &Pool,
+    requests: usize,
+    make_call: impl Fn() -> (SocketAddr, Call),
+) -> Histogram<u64> {
     let mut latency = new_histogram();
     for _ in 0..requests {
-        let (address, call) = make();
+        let (address, call) = make_call();
         let began = Instant::now();
-        let Ok(answer) = pool.send(address, call, PATIENCE).await else { continue };
+        let Ok(answer) = pool.send(address, call, TIMEOUT).await else { continue };
         if answer.status() == 200 && answer.bytes().await.is_ok() {
             let micros = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
             latency.saturating_record(micros);
@@ -98,25 +102,27 @@
     latency
 }
 
-fn report(options: &Options, base: &Side, through: &Side) {
-    let side = |name: &str, side: &Side| {
-        let per_request = side.cpu.as_micros() / (side.latency.len().max(1) as u128);
+fn print_report(options: &Options, direct_result: &Measurement, routed_result: &Measurement) {
+    let print_result = |name: &str, result: &Measurement| {
+        let per_request = result.cpu.as_micros() / (result.latency.len().max(1) as u128);
         println!(
             "{name:<8} {} answers, p50 {} us, p99 {} us, {:.0} a second, {per_request} us of processor time each",
-            side.latency.len(),
-            side.latency.value_at_quantile(0.5),
-            side.latency.value_at_quantile(0.99),
-            side.latency.len() as f64 / side.wall.as_secs_f64(),
+            result.latency.len(),
+            result.latency.value_at_quantile(0.5),
+            result.latency.value_at_quantile(0.99),
+            result.latency.len() as f64 / result.wall.as_secs_f64(),
         );
     };
-    side("direct", base);
-    side("routed", through);
+    print_result("direct", direct_result);
+    print_result("routed", routed_result);
     let added = |quantile| {
-        through.latency.value_at_quantile(quantile) as i64 - base.latency.value_at_quantile(quantile) as i64
+        routed_result.latency.value_at_quantile(quantile) as i64
+            - direct_result.latency.value_at_quantile(quantile) as i64
     };
-    // Caller and stand-in cost the same both ways, so the difference is entry and agent.
-    let cpu = through.cpu.saturating_sub(base.cpu).as_secs_f64() / through.latency.len().max(1) as f64;
-    let missing = options.requests as u64 - through.latency.len().min(options.requests as u64);
+    // Callers and stand-ins cost the same on both paths, so the difference is entry and agent.
+    let cpu = routed_result.cpu.saturating_sub(direct_result.cpu).as_secs_f64()
+        / routed_result.latency.len().max(1) as f64;
+    let unanswered = options.requests as u64 - routed_result.latency.len().min(options.requests as u64);
     println!(
         "{}",
         json!({
@@ -124,7 +130,7 @@
             "p99_added_us": added(0.99),
             "rps_per_core": (1.0 / cpu.max(1e-9)).round(),
             "callers": options.callers,
-            "not_answered": missing,
+            "not_answered": unanswered,
         })
     );
 }
--- a/crates/bench/src/cmd/site.rs
+++ b/crates/bench/src/cmd/site.rs
@@ -1,4 +1,4 @@
-//! `site`: stand-ins for trying the daemons out by hand.
+//! `site`: runs stand-in servers for manual tests of the daemons.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     },
 };
 
-/// Starts the stand-ins, prints where they are, and runs until the process is ended.
+/// Starts the stand-in servers, prints their addresses, and runs until the process is terminated.
 pub async fn execute() -> Result<bool, FleetError> {
     let table = Table::start(Rates::default()).await?;
     println!("table      {}", table.address());
@@ -25,13 +25,13 @@
     }
     let service = plain::Service::start(Duration::from_millis(2)).await?;
     println!("filing-1   {}", service.address());
-    println!("\n{}", commands(&table));
+    println!("\n{}", format_commands(&table));
     loop {
         task::sleep(Duration::from_secs(3_600)).await;
     }
 }
 
-fn commands(table: &Table) -> String {
+fn format_commands(table: &Table) -> String {
     let table = table.address();
     format!(
         "tarragonhilld agent --name agent-1 --zone zone-a --fronts prefill-1,decode-1,prefill-2,decode-2,filing-1 \
--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -1,8 +1,8 @@
-//! `slopes`: how the cost of each role grows with the size of the fleet.
+//! `slopes`: measures how the cost of each role grows with the fleet size.
 //!
-//! State that only decisions hold is measured on the decisions alone, with time moved by hand; what
-//! processes say to one another is measured on running daemons at rest. Each line of output is one
-//! point; the last line of a series is the line fitted through its points.
+//! The cost of the core logic is measured without I/O and with a simulated clock, the cost of
+//! communication on running daemons without load. Each output line is a data point; the last line of
+//! each series holds the fitted slope and intercept.
 
 use std::{
     collections::BTreeSet,
@@ -27,29 +27,28 @@
 use crate::{
     caller::{Caller, Completion},
     fleet::{Fleet, FleetError, MODEL, Shape, Tenant, key_of},
-    usage::{cpu_time, loopback, resident},
+    usage::{cpu_time, loopback_traffic, resident_bytes},
 };
 
-/// Numbers of customers measured.
+/// Numbers of customers.
 const CUSTOMERS: [usize; 3] = [1_000, 7_000, 21_000];
-/// Numbers of endpoints measured.
+/// Numbers of endpoints.
 const ENDPOINTS: [usize; 3] = [60, 200, 610];
-/// Numbers of agents before one entry.
+/// Numbers of agents linked to one entry.
 const AGENTS: [usize; 3] = [10, 40, 120];
 /// Numbers of entries.
 const ENTRIES: [usize; 4] = [2, 4, 8, 16];
-/// Numbers of answers streamed at once.
+/// Numbers of concurrent streams.
 const STREAMS: [usize; 3] = [50, 150, 450];
-/// How long running daemons are watched.
-const WATCH: Duration = Duration::from_secs(6);
-/// Time for daemons to come to rest.
-const SETTLE: Duration = Duration::from_secs(3);
-/// Changes of settings a day at the size designed for.
-const CHANGES_A_DAY: f64 = 2_200.0;
-/// Seconds in a day.
-const DAY: f64 = 86_400.0;
+/// Duration of a measurement on running daemons.
+const MEASURING_TIME: Duration = Duration::from_secs(6);
+/// Delay before a measurement on running daemons.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Settings changes per day in a fleet of the largest supported size.
+const CHANGES_PER_DAY: f64 = 2_200.0;
+const SECS_PER_DAY: f64 = 86_400.0;
 
-/// One measured point.
+/// Data point: the cost at size `n`.
 #[derive(Clone, Copy, Debug, Default)]
 struct Point {
     n: usize,
@@ -59,7 +58,7 @@
     net_bytes_per_s: f64,
 }
 
-/// A series of points.
+/// Data points of one role in one state, with `x` as the name of the size.
 struct Series {
     role: &'static str,
     state: &'static str,
@@ -106,7 +105,7 @@
     (value * 1_000.0).round() / 1_000.0
 }
 
-/// Least squares: slope and value at zero.
+/// Returns slope and intercept of the least-squares line.
 fn fit(points: &[Point], value: impl Fn(&Point) -> f64) -> (f64, f64) {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|point| point.n as f64).sum::<f64>() / count;
@@ -118,51 +117,51 @@
     (slope, mean_y - slope * mean_x)
 }
 
-/// Runs all measurements.
+/// Runs all measurements and prints their results.
 pub async fn execute() -> Result<bool, FleetError> {
-    settings();
-    homes();
-    limiters();
-    placement();
-    agent_queue();
-    links().await?;
-    entries().await?;
-    tokens().await?;
+    measure_settings();
+    measure_homes();
+    measure_limiters();
+    measure_placement();
+    measure_agent_queue();
+    measure_links().await?;
+    measure_entries().await?;
+    measure_streams().await?;
     Ok(true)
 }
 
-fn name(kind: &str, number: usize) -> Arc<str> {
+fn numbered(kind: &str, number: usize) -> Arc<str> {
     format!("{kind}-{number}").into()
 }
 
-fn terms() -> Customer {
+fn customer_terms() -> Customer {
     Customer { rate: 10_000, burst: 20_000, weight: 1 }
 }
 
-/// Settings of `customers` customers with a key each, and 610 endpoints.
+/// Returns settings with `customers` customers, one key for each, and 610 endpoints.
 fn snapshot(customers: usize) -> Snapshot {
     let mut rows = Vec::new();
     for number in 0..customers {
-        let customer = name("customer", number);
-        rows.push(Row::Customer(customer.clone(), Some(terms())));
+        let customer = numbered("customer", number);
+        rows.push(Row::Customer(customer.clone(), Some(customer_terms())));
         let key = Key {
-            id: name("key", number),
+            id: numbered("key", number),
             customer: customer.clone(),
             withdrawn: false,
             running: WithdrawalPolicy::Cut,
         };
         rows.push(Row::Key(digest(&customer).into(), Some(key)));
     }
-    rows.extend((0..610).map(|number| Row::Endpoint(name("endpoint", number), Some(endpoint(number)))));
+    rows.extend((0..610).map(|number| Row::Endpoint(numbered("endpoint", number), Some(endpoint(number)))));
     Snapshot::default().apply(1, &rows).unwrap_or_default()
 }
 
 fn endpoint(number: usize) -> Endpoint {
     Endpoint {
         role: if number.is_multiple_of(2) { Role::Prefill } else { Role::Decode },
-        serves: name("model", number % 39),
-        host: name("host", number),
-        zone: name("zone", number % 6),
+        serves: numbered("model", number % 39),
+        host: numbered("host", number),
+        zone: numbered("zone", number % 6),
         address: "10.0.0.1:9000".into(),
         agent: format!("10.0.{}.{}:9100", number / 250, number % 250).into(),
         pieces: 400,
@@ -173,20 +172,25 @@
     }
 }
 
-/// Settings in each daemon: memory, and processor time of 2,200 changes a day.
-fn settings() {
+/// Measures the settings of a daemon: memory, and processor time for the changes of a day.
+fn measure_settings() {
     let mut series = Series::new("entry and agent", "settings, 2,200 changes a day", "customers");
     for n in CUSTOMERS {
-        let before = resident();
+        let before = resident_bytes();
         let snapshot = snapshot(n);
-        let bytes = resident().saturating_sub(before) as f64;
-        let row = [Row::Customer(name("customer", 5), Some(terms()))];
+        let bytes = resident_bytes().saturating_sub(before) as f64;
+        let row = [Row::Customer(numbered("customer", 5), Some(customer_terms()))];
         let (rounds, began) = (20, Instant::now());
         for version in 0..rounds {
             std::hint::black_box(snapshot.apply(2 + version, &row));
         }
         let each_us = began.elapsed().as_secs_f64() * 1e6 / rounds as f64;
-        series.add(Point { n, cpu_us_per_s: each_us * CHANGES_A_DAY / DAY, bytes, ..Point::default() });
+        series.add(Point {
+            n,
+            cpu_us_per_s: each_us * CHANGES_PER_DAY / SECS_PER_DAY,
+            bytes,
+            ..Point::default()
+        });
         println!(
             "{}",
             json!({ "note": "one change of settings", "customers": n, "cpu_us": each_us.round() })
@@ -195,8 +199,8 @@
     series.fit();
 }
 
-/// A home for all shards, as if this entry were the only one.
-fn lone_home() -> Home {
+/// Returns a home that owns all shards, as in a fleet with one entry.
+fn single_home() -> Home {
     let me: Arc<str> = "entry-0".into();
     let mut home = Home::new(me.clone(), 1, "127.0.0.1:1".into(), "zone-0".into());
     for shard in 0..home::SHARDS {
@@ -214,15 +218,15 @@
     home
 }
 
-/// The home of all customers, each of which borrows twice a second.
-fn homes() {
+/// Measures a home that lends to all customers, each of which borrows twice per second.
+fn measure_homes() {
     let mut series = Series::new("home", "loans, two a second for each customer", "active customers");
     for n in CUSTOMERS {
         let settings = snapshot(n);
-        let before = resident();
-        let mut home = lone_home();
+        let before = resident_bytes();
+        let mut home = single_home();
         let borrower: Arc<str> = "entry-1#1".into();
-        let names: Vec<Arc<str>> = (0..n).map(|number| name("customer", number)).collect();
+        let names: Vec<Arc<str>> = (0..n).map(|number| numbered("customer", number)).collect();
         let began = Instant::now();
         for round in 1..=2 {
             let now = Time::ZERO.plus(Duration::from_millis(500 * round));
@@ -232,27 +236,27 @@
             }
         }
         let cpu_us_per_s = began.elapsed().as_secs_f64() * 1e6;
-        let bytes = resident().saturating_sub(before) as f64;
+        let bytes = resident_bytes().saturating_sub(before) as f64;
         series.add(Point { n, cpu_us_per_s, bytes, msgs_per_s: 2.0 * n as f64, ..Point::default() });
     }
     series.fit();
 }
 
-/// An entry's limiters, one request a second for each active customer.
-fn limiters() {
+/// Measures the rate limiters of an entry, with one request per second for each active customer.
+fn measure_limiters() {
     let mut series =
-        Series::new("entry", "purses, one request a second for each customer", "active customers");
+        Series::new("entry", "rate limiters, one request a second for each customer", "active customers");
     for n in CUSTOMERS {
-        let before = resident();
+        let before = resident_bytes();
         let mut limiters: Vec<Limiter> = (0..n).map(|_| Limiter::new(Time::ZERO)).collect();
         let began = Instant::now();
         let now = Time::ZERO.plus(Duration::from_secs(1));
-        let mut asked = 0_usize;
+        let mut loan_requests = 0_usize;
         for (number, limiter) in limiters.iter_mut().enumerate() {
             let deadline = now.plus(Duration::from_millis(300));
             limiter.admit(now, Waiter { request: Request(number as u128), cost: 500, deadline });
             if let Some(loan) = limiter.request_tokens(now) {
-                asked += 1;
+                loan_requests += 1;
                 let grant = tarragonhill_core::quota::Grant {
                     tokens: loan.tokens,
                     term: Duration::from_secs(4),
@@ -263,24 +267,24 @@
             std::hint::black_box(limiter.next_wakeup());
         }
         let cpu_us_per_s = began.elapsed().as_secs_f64() * 1e6;
-        let bytes = resident().saturating_sub(before) as f64;
-        series.add(Point { n, cpu_us_per_s, bytes, msgs_per_s: asked as f64, ..Point::default() });
+        let bytes = resident_bytes().saturating_sub(before) as f64;
+        series.add(Point { n, cpu_us_per_s, bytes, msgs_per_s: loan_requests as f64, ..Point::default() });
     }
     series.fit();
 }
 
-/// An entry's choice of an endpoint, 250 requests a second with two choices each, all endpoints
-/// serving one model.
-fn placement() {
+/// Measures the placement at an entry, with 250 requests per second and two choices per request. All
+/// endpoints serve the same model.
+fn measure_placement() {
     const CHOICES: usize = 500;
     let mut series = Series::new("entry", "placement, 250 requests a second", "endpoints of one model");
     for n in ENDPOINTS {
-        let before = resident();
+        let before = resident_bytes();
         let endpoints: Vec<(Arc<str>, Arc<Endpoint>)> =
-            (0..n).map(|number| (name("endpoint", number), Arc::new(endpoint(number)))).collect();
+            (0..n).map(|number| (numbered("endpoint", number), Arc::new(endpoint(number)))).collect();
         let mut view = View::default();
         for (name, _) in &endpoints {
-            view.record_load(Time::ZERO, load(name));
+            view.record_load(Time::ZERO, endpoint_load(name));
         }
         let mut rng = ChaCha8Rng::seed_from_u64(1);
         let began = Instant::now();
@@ -301,13 +305,13 @@
             }
         }
         let cpu_us_per_s = began.elapsed().as_secs_f64() * 1e6;
-        let bytes = resident().saturating_sub(before) as f64;
+        let bytes = resident_bytes().saturating_sub(before) as f64;
         series.add(Point { n, cpu_us_per_s, bytes, msgs_per_s: CHOICES as f64, ..Point::default() });
     }
     series.fit();
 }
 
-fn load(endpoint: &Arc<str>) -> Load {
+fn endpoint_load(endpoint: &Arc<str>) -> Load {
     Load {
         endpoint: endpoint.clone(),
         free_pieces: 100,
@@ -318,8 +322,8 @@
     }
 }
 
-/// An agent's queue: orders for one prefill engine of as many customers.
-fn agent_queue() {
+/// Measures the queue of an agent: each order for its prefill engine comes from another customer.
+fn measure_agent_queue() {
     const QUEUED: [usize; 3] = [10, 40, 160];
     let mut series = Series::new("agent", "prefill queue, 25 orders a second", "queued orders");
     for n in QUEUED {
@@ -329,8 +333,8 @@
             let work = Work {
                 attempt: Attempt { request: Request(number as u128), number: 1 },
                 endpoint: "endpoint-0".into(),
-                customer: name("customer", number),
-                key: name("key", number),
+                customer: numbered("customer", number),
+                key: numbered("key", number),
                 prompt_tokens: 4_000,
                 max_tokens: 200,
                 slack: Duration::from_secs(3_600),
@@ -352,39 +356,40 @@
     series.fit();
 }
 
-/// Watches a running fleet at rest.
-async fn watch(shape: Shape) -> Result<(Point, f64, f64), FleetError> {
-    let before = resident();
+/// Measures a running fleet without load. Returns the costs and the table's reads and writes per
+/// second.
+async fn measure_idle_fleet(shape: Shape) -> Result<(Point, f64, f64), FleetError> {
+    let before = resident_bytes();
     let fleet = Fleet::start(shape).await?;
-    task::sleep(SETTLE).await;
-    let (cpu, (bytes, packets)) = (cpu_time(), loopback());
+    task::sleep(SETTLE_TIME).await;
+    let (cpu, (bytes, packets)) = (cpu_time(), loopback_traffic());
     let (reads, writes) = fleet.table.served();
-    task::sleep(WATCH).await;
-    let seconds = WATCH.as_secs_f64();
-    let (more_bytes, more_packets) = loopback();
-    let (more_reads, more_writes) = fleet.table.served();
+    task::sleep(MEASURING_TIME).await;
+    let seconds = MEASURING_TIME.as_secs_f64();
+    let (end_bytes, end_packets) = loopback_traffic();
+    let (end_reads, end_writes) = fleet.table.served();
     let point = Point {
         n: 0,
         cpu_us_per_s: cpu_time().saturating_sub(cpu).as_secs_f64() * 1e6 / seconds,
-        bytes: resident().saturating_sub(before) as f64,
-        msgs_per_s: (more_packets - packets) as f64 / seconds,
-        net_bytes_per_s: (more_bytes - bytes) as f64 / seconds,
+        bytes: resident_bytes().saturating_sub(before) as f64,
+        msgs_per_s: (end_packets - packets) as f64 / seconds,
+        net_bytes_per_s: (end_bytes - bytes) as f64 / seconds,
     };
     fleet.stop().await;
-    let rate = |more: u64, first: u64| (more - first) as f64 / seconds;
-    Ok((point, rate(more_reads, reads), rate(more_writes, writes)))
+    let rate = |end: u64, start: u64| (end - start) as f64 / seconds;
+    Ok((point, rate(end_reads, reads), rate(end_writes, writes)))
 }
 
-fn at_rest(entries: usize, agents: usize) -> Shape {
+fn idle_shape(entries: usize, agents: usize) -> Shape {
     Shape { entries, prefill: 0, decode: 0, plain: agents, ..Shape::small() }
 }
 
-/// Links at rest: one entry before more and more agents. Everything in the process is counted, so
-/// each link is charged with both of its ends, the stand-in's table and the loopback's headers.
-async fn links() -> Result<(), FleetError> {
+/// Measures idle links of one entry to its agents. The whole process is counted, so the cost of a link
+/// includes both ends, the stand-in table and the packet headers.
+async fn measure_links() -> Result<(), FleetError> {
     let mut series = Series::new("entry with agents", "links at rest, both ends", "agents");
     for n in AGENTS {
-        let (point, reads, writes) = watch(at_rest(1, n)).await?;
+        let (point, reads, writes) = measure_idle_fleet(idle_shape(1, n)).await?;
         series.add(Point { n, ..point });
         println!(
             "{}",
@@ -395,38 +400,38 @@
     Ok(())
 }
 
-/// Answers being streamed, about 40 tokens a second each, by one entry. Caller, stand-ins, both ends
-/// of the link and the entry are counted together.
-async fn tokens() -> Result<(), FleetError> {
+/// Measures streams through one entry. The whole process is counted: callers, stand-ins, the entry and
+/// both ends of the link.
+async fn measure_streams() -> Result<(), FleetError> {
     let mut series = Series::new("entry, agent, caller and stand-ins", "streams", "streamed answers");
     for n in STREAMS {
-        let mut shape = at_rest(1, 0);
+        let mut shape = idle_shape(1, 0);
         (shape.prefill, shape.decode) = (1, 1);
         shape.tenants = vec![Tenant::new("reader", 10_000_000, 10_000_000)];
         (shape.decode_power.pieces, shape.decode_power.step_each) = (1_000, Duration::ZERO);
         let fleet = Fleet::start(shape).await?;
-        let readers: Vec<_> =
-            (0..n).map(|number| task::spawn(read(fleet.entry(0).address(), number))).collect();
-        task::sleep(SETTLE).await;
-        let generated = || fleet.decode[0].counts.tokens.load(Ordering::Relaxed);
-        let (cpu, (bytes, packets), first) = (cpu_time(), loopback(), generated());
-        task::sleep(WATCH).await;
-        let seconds = WATCH.as_secs_f64();
-        let (more_bytes, more_packets) = loopback();
-        let used = cpu_time().saturating_sub(cpu).as_secs_f64() * 1e6;
-        let made = generated() - first;
+        let streams: Vec<_> =
+            (0..n).map(|number| task::spawn(read_stream(fleet.entry(0).address(), number))).collect();
+        task::sleep(SETTLE_TIME).await;
+        let generated_tokens = || fleet.decode[0].counts.tokens.load(Ordering::Relaxed);
+        let (cpu, (bytes, packets), start_tokens) = (cpu_time(), loopback_traffic(), generated_tokens());
+        task::sleep(MEASURING_TIME).await;
+        let seconds = MEASURING_TIME.as_secs_f64();
+        let (end_bytes, end_packets) = loopback_traffic();
+        let cpu_used_us = cpu_time().saturating_sub(cpu).as_secs_f64() * 1e6;
+        let token_count = generated_tokens() - start_tokens;
         series.add(Point {
             n,
-            cpu_us_per_s: used / seconds,
+            cpu_us_per_s: cpu_used_us / seconds,
             bytes: 0.0,
-            msgs_per_s: (more_packets - packets) as f64 / seconds,
-            net_bytes_per_s: (more_bytes - bytes) as f64 / seconds,
+            msgs_per_s: (end_packets - packets) as f64 / seconds,
+            net_bytes_per_s: (end_bytes - bytes) as f64 / seconds,
         });
-        let each = round(used / made.max(1) as f64);
-        let per_s = round(made as f64 / seconds);
+        let each = round(cpu_used_us / token_count.max(1) as f64);
+        let per_s = round(token_count as f64 / seconds);
         println!("{}", json!({ "note": "tokens", "streams": n, "tokens_per_s": per_s, "cpu_us_each": each }));
-        for reader in readers {
-            reader.cancel().await;
+        for stream in streams {
+            stream.cancel().await;
         }
         fleet.stop().await;
     }
@@ -434,17 +439,17 @@
     Ok(())
 }
 
-async fn read(entry: std::net::SocketAddr, number: usize) {
+async fn read_stream(entry: std::net::SocketAddr, number: usize) {
     let prompt = format!("stream {number}");
     let completion = Completion { model: MODEL.to_owned(), prompt, max_tokens: 1_000, stream: true };
     Caller::new(entry, key_of("reader")).complete(&completion).await;
 }
 
-/// Entries at rest, with 4 agents.
-async fn entries() -> Result<(), FleetError> {
+/// Measures idle entries, linked to 4 agents.
+async fn measure_entries() -> Result<(), FleetError> {
     let mut series = Series::new("entries", "leases, homes and heartbeats at rest, all entries", "entries");
     for n in ENTRIES {
-        let (point, reads, writes) = watch(at_rest(n, 4)).await?;
+        let (point, reads, writes) = measure_idle_fleet(idle_shape(n, 4)).await?;
         series.add(Point { n, ..point });
         println!(
             "{}",
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole site in one process: stand-ins, agents and entries over loopback TCP.
+//! Complete fleet in one process: stand-in servers, agents and entries over loopback TCP.
 
 use std::{collections::BTreeMap, fmt, io, net::SocketAddr, time::Duration};
 
@@ -29,63 +29,63 @@
     table::{Rates, Table},
 };
 
-/// Longest wait for a fleet to be ready.
-const READY: Duration = Duration::from_secs(10);
+/// Maximum wait until a started fleet is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Name of the model that all engines serve.
 pub const MODEL: &str = "drafting";
 /// Name of the plain service.
 pub const SERVICE: &str = "filing";
 
-/// A customer of the fleet.
+/// Customer of the fleet.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Name; its key is `NAME-key`.
+    /// Name; [`key_of`] returns the API key.
     pub name: String,
-    /// Tokens a second.
+    /// Rate limit, tokens per second.
     pub rate: u64,
-    /// Most tokens at once.
+    /// Maximum burst, tokens.
     pub burst: u64,
 }
 
 impl Tenant {
-    /// A customer.
+    /// Creates a customer.
     pub fn new(name: &str, rate: u64, burst: u64) -> Self {
         Self { name: name.to_owned(), rate, burst }
     }
 }
 
-/// What the key of a customer is.
+/// Returns the API key of a customer.
 pub fn key_of(tenant: &str) -> String {
     format!("{tenant}-key")
 }
 
-/// Size of a fleet.
+/// Size and configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Prefill engines.
+    /// Number of prefill engines.
     pub prefill: usize,
-    /// Decode engines.
+    /// Number of decode engines.
     pub decode: usize,
-    /// Plain services.
+    /// Number of plain services.
     pub plain: usize,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
     /// Customers.
     pub tenants: Vec<Tenant>,
     /// Placement policy.
     pub policy: Policy,
-    /// What prefill engines can do.
+    /// Capacity of each prefill engine.
     pub prefill_power: prefill::Power,
-    /// What decode engines can do.
+    /// Capacity of each decode engine.
     pub decode_power: decode::Power,
-    /// Time a plain call takes.
+    /// Response time of plain services.
     pub plain_latency: Duration,
 }
 
 impl Shape {
-    /// A few of everything.
+    /// Returns a small fleet with several processes of each role and two customers.
     pub fn small() -> Self {
         Self {
             entries: 3,
@@ -102,23 +102,23 @@
     }
 }
 
-/// Why a fleet does not start.
+/// Failure to start a fleet.
 #[derive(Debug)]
 pub enum FleetError {
-    /// A stand-in cannot listen.
+    /// A stand-in server cannot listen.
     Io(io::Error),
-    /// A daemon does not start.
+    /// A daemon failed to start.
     Start(StartError),
-    /// It did not become ready in time.
+    /// The fleet was not ready before the timeout.
     NotReady,
 }
 
 impl fmt::Display for FleetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Io(error) => write!(f, "a stand-in does not start: {error}"),
-            Self::Start(error) => write!(f, "a daemon does not start: {error}"),
-            Self::NotReady => f.write_str("the fleet did not become ready in time"),
+            Self::Io(error) => write!(f, "failed to start a stand-in server: {error}"),
+            Self::Start(error) => write!(f, "failed to start a daemon: {error}"),
+            Self::NotReady => f.write_str("timed out while waiting for the fleet to become ready"),
         }
     }
 }
@@ -137,11 +137,11 @@
     }
 }
 
-/// A running fleet.
+/// Running fleet.
 pub struct Fleet {
-    /// The table.
+    /// Table that stores the settings and the leases.
     pub table: Table,
-    /// The list of hosts.
+    /// Host list of the platform.
     pub hosts: Hosts,
     /// Prefill engines.
     pub prefill: Vec<prefill::Engine>,
@@ -151,13 +151,13 @@
     pub plain: Vec<Service>,
     /// Agents by endpoint name.
     pub agents: BTreeMap<String, Agent>,
-    /// Entries; one that was killed is gone.
+    /// Entries by number; None if the entry was killed.
     pub entries: Vec<Option<Entry>>,
     shape: Shape,
 }
 
 impl Fleet {
-    /// Starts everything and waits until all entries serve.
+    /// Starts all processes and waits until all entries serve.
     pub async fn start(shape: Shape) -> Result<Self, FleetError> {
         let mut fleet = Self {
             table: Table::start(Rates::default()).await?,
@@ -185,23 +185,23 @@
         let mut rows = Vec::new();
         for number in 0..self.shape.prefill {
             let engine = prefill::Engine::start(self.shape.prefill_power).await?;
-            rows.push(self.endpoint(Role::Prefill, number, engine.address()).await?);
+            rows.push(self.start_endpoint(Role::Prefill, number, engine.address()).await?);
             self.prefill.push(engine);
         }
         for number in 0..self.shape.decode {
             let engine = decode::Engine::start(self.shape.decode_power).await?;
-            rows.push(self.endpoint(Role::Decode, number, engine.address()).await?);
+            rows.push(self.start_endpoint(Role::Decode, number, engine.address()).await?);
             self.decode.push(engine);
         }
         for number in 0..self.shape.plain {
             let service = Service::start(self.shape.plain_latency).await?;
-            rows.push(self.endpoint(Role::Plain, number, service.address()).await?);
+            rows.push(self.start_endpoint(Role::Plain, number, service.address()).await?);
             self.plain.push(service);
         }
         Ok(rows)
     }
 
-    async fn endpoint(
+    async fn start_endpoint(
         &mut self,
         role: Role,
         number: usize,
@@ -223,20 +223,20 @@
             generation: 1,
         };
         self.agents.insert(name.clone(), agent);
-        Ok(row(&Row::Endpoint(name.into(), Some(endpoint))))
+        Ok(encode_row(&Row::Endpoint(name.into(), Some(endpoint))))
     }
 
     fn zone(&self, number: usize) -> String {
         format!("zone-{}", number % self.shape.zones.max(1))
     }
 
-    fn common(&self, name: &str, number: usize) -> CommonSettings {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    fn common_settings(&self, name: &str, number: usize) -> CommonSettings {
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         CommonSettings {
             name: name.into(),
             zone: self.zone(number).into(),
-            listen: any,
-            admin: any,
+            listen: any_port,
+            admin: any_port,
             table: self.table.address(),
             poll: Duration::from_millis(500),
             drain: Duration::from_secs(20),
@@ -245,15 +245,15 @@
     }
 
     async fn start_agent(&self, endpoint: &str, number: usize) -> Result<Agent, FleetError> {
-        let common = self.common(&format!("agent-{endpoint}"), number);
+        let common = self.common_settings(&format!("agent-{endpoint}"), number);
         let settings = AgentSettings { common, fronts: [endpoint.into()].into() };
         Ok(Agent::start(settings, Clock::runtime()).await?)
     }
 
-    /// Starts entry `number`; also after it was killed.
+    /// Starts or restarts entry `number`. The caller stores it in [`Fleet::entries`].
     pub async fn start_entry(&self, number: usize) -> Result<Entry, FleetError> {
         let settings = EntrySettings {
-            common: self.common(&format!("entry-{number}"), number),
+            common: self.common_settings(&format!("entry-{number}"), number),
             peer: SocketAddr::from(([127, 0, 0, 1], 0)),
             hosts: Some(self.hosts.address()),
             first_token: Duration::from_millis(900),
@@ -276,8 +276,8 @@
                 withdrawn: false,
                 running: WithdrawalPolicy::Cut,
             };
-            rows.push(row(&Row::Customer(name.as_str().into(), Some(customer))));
-            rows.push(row(&Row::Key(digest(&key_of(name)).into(), Some(key))));
+            rows.push(encode_row(&Row::Customer(name.as_str().into(), Some(customer))));
+            rows.push(encode_row(&Row::Key(digest(&key_of(name)).into(), Some(key))));
         }
         rows
     }
@@ -285,7 +285,7 @@
     async fn wait_ready(&self) -> Result<(), FleetError> {
         let began = std::time::Instant::now();
         let links = self.agents.len();
-        while began.elapsed() < READY {
+        while began.elapsed() < READY_TIMEOUT {
             if self.is_ready(links).await {
                 return Ok(());
             }
@@ -297,7 +297,7 @@
     async fn is_ready(&self, links: usize) -> bool {
         let mut homes = 0;
         for entry in self.entries.iter().flatten() {
-            let Some(dump) = dump(entry.admin()).await else { return false };
+            let Some(dump) = fetch_dump(entry.admin()).await else { return false };
             if dump["serving"] != true || dump["links"]["up"] != links || dump["lease_renewed"] != true {
                 return false;
             }
@@ -306,13 +306,17 @@
         homes == u64::from(tarragonhill_core::home::SHARDS)
     }
 
-    /// Entry `number`; panics if it was killed.
+    /// Returns entry `number`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the entry was killed.
     #[allow(clippy::expect_used, reason = "a caller of the bench asks only for entries it has not killed")]
     pub fn entry(&self, number: usize) -> &Entry {
         self.entries[number].as_ref().expect("entry was killed")
     }
 
-    /// Stops everything at once.
+    /// Kills all entries and agents without draining them.
     pub async fn stop(self) {
         for entry in self.entries.into_iter().flatten() {
             entry.kill().await;
@@ -323,12 +327,12 @@
     }
 }
 
-fn row(row: &Row) -> (String, Value) {
+fn encode_row(row: &Row) -> (String, Value) {
     (row.key(), row.value().unwrap_or_default())
 }
 
-/// A daemon's state dump.
-pub async fn dump(admin: SocketAddr) -> Option<Value> {
+/// Fetches the state dump of the daemon with this admin address, or None if the request fails.
+pub async fn fetch_dump(admin: SocketAddr) -> Option<Value> {
     let pool = Pool::default();
     let answer = pool.send(admin, Call::get("/dump"), Duration::from_secs(2)).await.ok()?;
     answer.json().await.ok()
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `tarragonhill-bench`: stand-ins, load and experiments. For tests and measurement only.
+//! `tarragonhill-bench`: test servers, load generation and experiments, for tests and benchmarks only.
 
 use std::process::ExitCode;
 
@@ -7,32 +7,32 @@
 use tarragonhill_bench::cmd::{check, demo, measure, overhead, site, slopes};
 use tarragonhill_daemon::logging;
 
-/// Stand-ins, load and experiments for the tarragonhill router
+/// Test servers, load generation and experiments for the tarragonhill router
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Options {
-    /// Start a whole site in one process and show it at work
+    /// Start a complete fleet in one process and send example requests to it
     #[bpaf(command)]
     Demo,
-    /// Run random histories with faults and check every promise on each
+    /// Run random scenarios with faults and check every invariant on each history
     #[bpaf(command)]
     Check(#[bpaf(external(check::options))] check::Options),
-    /// Start stand-ins for trying the daemons out by hand
+    /// Start stand-in servers for manual tests of the daemons
     #[bpaf(command)]
     Site,
-    /// Measure the time that entry and agent add to a request
+    /// Measure the latency and processor time that the router adds to a request
     #[bpaf(command)]
     Overhead(#[bpaf(external(overhead::options))] overhead::Options),
-    /// Measure goodput, waste and fairness of each policy under load and faults
+    /// Measure goodput, wasted prefill work and fairness of each policy under load and faults
     #[bpaf(command)]
     Measure(#[bpaf(external(measure::options))] measure::Options),
-    /// Measure how the cost of each role grows with the size of the fleet
+    /// Measure how the cost of each role grows with the fleet size
     #[bpaf(command)]
     Slopes,
 }
 
 fn main() -> ExitCode {
-    // The daemons' logs would drown the report.
+    // Keeps the daemons' logs out of the report.
     if let Err(error) = logging::init(logging::off()) {
         eprintln!("tarragonhill-bench: {error}");
         return ExitCode::FAILURE;
--- a/crates/bench/src/score.rs
+++ b/crates/bench/src/score.rs
@@ -1,4 +1,5 @@
-//! Scores of a run: the three measures of the brief, and what must be zero.
+//! Scores of a benchmark run: goodput, wasted prefill work, fairness between customers, and counts of
+//! errors that must be zero.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,88 +13,88 @@
     workload::Arrival,
 };
 
-/// Target for the first token.
-pub const FIRST_TOKEN: Duration = Duration::from_millis(900);
-/// Target between tokens, for 95 in 100 of an answer's gaps.
-pub const GAP: Duration = Duration::from_millis(54);
-/// An entry may admit a request this long after it arrived.
+/// Target time to first token.
+pub const TTFT_TARGET: Duration = Duration::from_millis(900);
+/// Target for the 95th percentile of the time between tokens.
+pub const GAP_TARGET: Duration = Duration::from_millis(54);
+/// Maximum time that an entry holds a request for rate tokens, with a margin.
 const RATE_WAIT: Duration = Duration::from_millis(350);
 
-/// A request with what became of it.
-pub struct Done {
+/// Request with its outcome.
+pub struct Record {
     /// The request.
     pub arrival: Arrival,
-    /// What became of it.
+    /// Outcome with its latencies.
     pub timed: Timed,
 }
 
 /// Scores of one run.
 #[derive(Clone, Debug)]
 pub struct Score {
-    /// Requests offered.
+    /// Number of requests sent.
     pub offered: usize,
-    /// Requests that the customers' rates and bursts entitle them to.
+    /// Number of requests within the customers' rates and bursts, at least 1.
     pub in_rate: usize,
-    /// Part of the in-rate requests answered whole within both latency targets.
+    /// Fraction of the in-rate requests answered correctly within both latency targets.
     pub goodput: f64,
-    /// Part of all prefill tokens whose result was never imported.
+    /// Fraction of the prefilled tokens that no decode engine imported.
     pub wasted_prefill: f64,
-    /// Lowest completed part over customers.
+    /// Lowest value in `completed`.
     pub worst_customer: f64,
-    /// Requests refused though inside their customer's rate, as a part of `in_rate`.
+    /// Requests refused although within their customer's rate, as a fraction of `in_rate`.
     pub wrongful_refusals: f64,
-    /// Those by customer and code.
-    pub wrongful_by: BTreeMap<String, usize>,
-    /// Tokens served beyond rate and burst.
+    /// Number of wrongful refusals by customer and code.
+    pub wrongful_by_code: BTreeMap<String, usize>,
+    /// Largest number of tokens served to a customer beyond its rate and burst.
     pub over_limit: u64,
-    /// Answers that were not what was asked for.
+    /// Number of wrong answers.
     pub violations: usize,
-    /// Times to the first token, microseconds.
+    /// Time to first token, microseconds.
     pub first_token: Histogram<u64>,
-    /// Times between tokens, microseconds.
+    /// Time between tokens, microseconds.
     pub gap: Histogram<u64>,
-    /// Refusals and failures by code.
+    /// Number of refusals and failures by code.
     pub codes: BTreeMap<String, usize>,
-    /// Completed part of what each customer is entitled to.
+    /// Completed fraction of the in-rate requests of each customer.
     pub completed: BTreeMap<String, f64>,
 }
 
 impl Score {
-    /// Scores a run.
-    pub fn of(done: &[Done], fleet: &Fleet, tenants: &[Tenant]) -> Self {
-        let entitled = entitled(done, tenants);
-        let all: usize = entitled.iter().sum::<usize>().max(1);
-        let good = count(done, tenants, is_good);
-        let right = count(done, tenants, is_right);
-        let shares = |counts: &[usize]| -> Vec<f64> {
+    /// Computes the scores of a run.
+    pub fn of(records: &[Record], fleet: &Fleet, tenants: &[Tenant]) -> Self {
+        let entitled = entitled_counts(records, tenants);
+        let in_rate_total: usize = entitled.iter().sum::<usize>().max(1);
+        let within_targets = count_by_tenant(records, tenants, is_within_targets);
+        let correct = count_by_tenant(records, tenants, is_correct);
+        let fractions = |counts: &[usize]| -> Vec<f64> {
             counts.iter().zip(&entitled).map(|(n, of)| (*n as f64 / (*of).max(1) as f64).min(1.0)).collect()
         };
-        let within: usize = good.iter().zip(&entitled).map(|(n, of)| (*n).min(*of)).sum();
-        let completed = shares(&right);
-        let wrongful_by = wrongful(done, tenants);
-        let (first_token, gap) = histograms(done);
+        let within: usize = within_targets.iter().zip(&entitled).map(|(n, of)| (*n).min(*of)).sum();
+        let completed = fractions(&correct);
+        let wrongful_by_code = wrongful_refusals(records, tenants);
+        let (first_token, gap) = histograms(records);
         Self {
-            offered: done.len(),
-            in_rate: all,
-            goodput: within as f64 / all as f64,
-            wasted_prefill: wasted(fleet),
+            offered: records.len(),
+            in_rate: in_rate_total,
+            goodput: within as f64 / in_rate_total as f64,
+            wasted_prefill: wasted_prefill(fleet),
             worst_customer: completed.iter().copied().fold(1.0, f64::min),
-            wrongful_refusals: wrongful_by.values().sum::<usize>() as f64 / all as f64,
-            wrongful_by,
-            over_limit: over_limit(done, tenants),
-            violations: done.iter().filter(|done| is_wrong(done)).count(),
+            wrongful_refusals: wrongful_by_code.values().sum::<usize>() as f64 / in_rate_total as f64,
+            wrongful_by_code,
+            over_limit: over_limit(records, tenants),
+            violations: records.iter().filter(|record| is_violation(record)).count(),
             first_token,
             gap,
-            codes: codes(done),
+            codes: codes(records),
             completed: tenants
                 .iter()
                 .zip(completed)
-                .map(|(tenant, share)| (tenant.name.clone(), round(share)))
+                .map(|(tenant, fraction)| (tenant.name.clone(), round(fraction)))
                 .collect(),
         }
     }
 
-    /// As one JSON object.
+    /// Returns the scores as a JSON object.
     pub fn json(&self) -> Value {
         let quantiles = |histogram: &Histogram<u64>| {
             let at = |q| histogram.value_at_quantile(q) as f64 / 1_000.0;
@@ -105,7 +106,7 @@
             "over_limit": self.over_limit, "violations": self.violations,
             "offered": self.offered, "in_rate": self.in_rate,
             "first_token_ms": quantiles(&self.first_token), "gap_ms": quantiles(&self.gap),
-            "codes": self.codes, "wrongful_by": self.wrongful_by, "completed": self.completed,
+            "codes": self.codes, "wrongful_by": self.wrongful_by_code, "completed": self.completed,
         })
     }
 }
@@ -114,49 +115,48 @@
     (value * 10_000.0).round() / 10_000.0
 }
 
-fn time(arrival: &Arrival) -> Time {
+fn arrival_time(arrival: &Arrival) -> Time {
     Time::ZERO.plus(arrival.at)
 }
 
-/// How many requests of each customer its rate and burst entitle it to: those that a bucket of
-/// its own takes in the order of arrival. The same for every policy.
+/// Returns how many requests of each customer a token bucket with its rate and burst admits in the
+/// order of arrival.
 ///
-/// Which ones of a customer that sends too much are served is the policy's business, so shares are
-/// counts against this one, never above it.
-fn entitled(done: &[Done], tenants: &[Tenant]) -> Vec<usize> {
-    let mut buckets = buckets(tenants);
+/// Only the number counts: a policy may serve other requests of a customer than the bucket admits.
+fn entitled_counts(records: &[Record], tenants: &[Tenant]) -> Vec<usize> {
+    let mut buckets = full_buckets(tenants);
     let mut counts = vec![0; tenants.len()];
-    for done in done {
-        let tenant = done.arrival.tenant;
-        let taken = buckets[tenant].take(time(&done.arrival), done.arrival.cost());
+    for record in records {
+        let tenant = record.arrival.tenant;
+        let taken = buckets[tenant].take(arrival_time(&record.arrival), record.arrival.cost());
         counts[tenant] += usize::from(taken.is_some());
     }
     counts
 }
 
-/// Requests refused although the customer's bucket, charged with what was in fact served to it, had
-/// room for them when they came. One such is charged too, as if it had been served: what the
-/// customer is owed counts once, not against every later request as well.
-fn wrongful(done: &[Done], tenants: &[Tenant]) -> BTreeMap<String, usize> {
+/// Counts refusals of requests for which the customer's token bucket had enough tokens at arrival. The
+/// bucket is charged for each served request and also for each wrongful refusal, so that the same
+/// tokens do not count as refused twice.
+fn wrongful_refusals(records: &[Record], tenants: &[Tenant]) -> BTreeMap<String, usize> {
     let mut accounts: Vec<Account> = tenants.iter().map(Account::full).collect();
     let mut wrongful = BTreeMap::new();
-    for done in done {
-        let account = &mut accounts[done.arrival.tenant];
-        account.pass(done.arrival.at.as_secs_f64());
-        let cost = done.arrival.cost() as f64;
-        if let Outcome::Refused(refused) = &done.timed.outcome {
+    for record in records {
+        let account = &mut accounts[record.arrival.tenant];
+        account.refill(record.arrival.at.as_secs_f64());
+        let cost = record.arrival.cost() as f64;
+        if let Outcome::Refused(refused) = &record.timed.outcome {
             if account.level < cost {
                 continue;
             }
-            *wrongful.entry(format!("{} {}", done.arrival.name, refused.code)).or_insert(0) += 1;
+            *wrongful.entry(format!("{} {}", record.arrival.name, refused.code)).or_insert(0) += 1;
         }
-        // One that was served after a wait took tokens that came later: the level may be negative.
+        // Negative if the request waited in the router for tokens added after its arrival.
         account.level -= cost;
     }
     wrongful
 }
 
-/// A customer's bucket that may be overdrawn.
+/// Token bucket of a customer whose level may be negative.
 struct Account {
     rate: f64,
     burst: f64,
@@ -169,42 +169,42 @@
         Self { rate: tenant.rate as f64, burst: tenant.burst as f64, level: tenant.burst as f64, at: 0.0 }
     }
 
-    fn pass(&mut self, now: f64) {
+    fn refill(&mut self, now: f64) {
         self.level = (self.level + (now - self.at) * self.rate).min(self.burst);
         self.at = now;
     }
 }
 
-fn buckets(tenants: &[Tenant]) -> Vec<Bucket> {
+fn full_buckets(tenants: &[Tenant]) -> Vec<Bucket> {
     tenants.iter().map(|tenant| Bucket::full(tenant.rate, tenant.burst, Time::ZERO)).collect()
 }
 
-fn count(done: &[Done], tenants: &[Tenant], holds: fn(&Done) -> bool) -> Vec<usize> {
+fn count_by_tenant(records: &[Record], tenants: &[Tenant], holds: fn(&Record) -> bool) -> Vec<usize> {
     let mut counts = vec![0; tenants.len()];
-    done.iter().filter(|done| holds(done)).for_each(|done| counts[done.arrival.tenant] += 1);
+    records.iter().filter(|record| holds(record)).for_each(|record| counts[record.arrival.tenant] += 1);
     counts
 }
 
-fn is_right(done: &Done) -> bool {
-    done.timed.is_right(&done.arrival.completion)
+fn is_correct(record: &Record) -> bool {
+    record.timed.is_right(&record.arrival.completion)
 }
 
-fn is_good(done: &Done) -> bool {
-    let timed = &done.timed;
+fn is_within_targets(record: &Record) -> bool {
+    let timed = &record.timed;
     let mut gaps = timed.gaps.clone();
     gaps.sort_unstable();
     let gap =
         gaps.get((gaps.len() * 95 / 100).min(gaps.len().saturating_sub(1))).copied().unwrap_or_default();
-    let quick = timed.first_token.is_some_and(|first| first <= FIRST_TOKEN) && gap <= GAP;
-    quick && is_right(done)
+    let is_fast = timed.first_token.is_some_and(|first| first <= TTFT_TARGET) && gap <= GAP_TARGET;
+    is_fast && is_correct(record)
 }
 
-/// A whole answer that is not the right one, or the beginning of a broken one that is not a part
-/// of the right one.
-fn is_wrong(done: &Done) -> bool {
-    let completion = &done.arrival.completion;
-    match &done.timed.outcome {
-        Outcome::Answered { .. } => !is_right(done),
+/// Returns whether the answer is wrong, or is a broken stream that is not a prefix of the expected
+/// answer.
+fn is_violation(record: &Record) -> bool {
+    let completion = &record.arrival.completion;
+    match &record.timed.outcome {
+        Outcome::Answered { .. } => !is_correct(record),
         Outcome::Broken { text, .. } => {
             !crate::standin::answer(&completion.prompt, completion.max_tokens).starts_with(text.as_str())
         }
@@ -212,20 +212,21 @@
     }
 }
 
-fn wasted(fleet: &Fleet) -> f64 {
+fn wasted_prefill(fleet: &Fleet) -> f64 {
     use std::sync::atomic::Ordering::Relaxed;
     let prefilled: u64 = fleet.prefill.iter().map(|engine| engine.counts.prefilled.load(Relaxed)).sum();
     let imported: u64 = fleet.decode.iter().map(|engine| engine.counts.imported.load(Relaxed)).sum();
     prefilled.saturating_sub(imported) as f64 / prefilled.max(1) as f64
 }
 
-/// The most by which any window of time saw more tokens served than rate and burst allow.
-fn over_limit(done: &[Done], tenants: &[Tenant]) -> u64 {
+/// Returns the largest excess of served tokens over rate and burst in any time window.
+fn over_limit(records: &[Record], tenants: &[Tenant]) -> u64 {
     let over = tenants.iter().enumerate().map(|(number, tenant)| {
-        let mine = done.iter().filter(|done| done.arrival.tenant == number);
-        let served: Vec<(f64, f64)> = mine.map(|done| (done.arrival.at.as_secs_f64(), used(done))).collect();
+        let own = records.iter().filter(|record| record.arrival.tenant == number);
+        let served: Vec<(f64, f64)> =
+            own.map(|record| (record.arrival.at.as_secs_f64(), served_tokens(record))).collect();
         let allowed = tenant.burst as f64 + tenant.rate as f64 * RATE_WAIT.as_secs_f64();
-        // Kadane's walk: the largest sum of tokens less what the rate brings in between.
+        // Kadane's algorithm: the maximum over all windows of tokens served minus tokens refilled.
         let (mut best, mut sum, mut last) = (0.0_f64, 0.0_f64, 0.0);
         for (at, tokens) in served {
             sum = (sum - (at - last) * tenant.rate as f64).max(0.0) + tokens;
@@ -236,22 +237,22 @@
     over.fold(0.0, f64::max) as u64
 }
 
-fn used(done: &Done) -> f64 {
-    match &done.timed.outcome {
+fn served_tokens(record: &Record) -> f64 {
+    match &record.timed.outcome {
         Outcome::Answered { text } | Outcome::Broken { text, .. } => {
-            (done.arrival.completion.prompt.len().div_ceil(4) + text.split_whitespace().count()) as f64
+            (record.arrival.completion.prompt.len().div_ceil(4) + text.split_whitespace().count()) as f64
         }
         Outcome::Refused(_) | Outcome::Failed(_) | Outcome::Unsent(_) => 0.0,
     }
 }
 
-fn histograms(done: &[Done]) -> (Histogram<u64>, Histogram<u64>) {
+fn histograms(records: &[Record]) -> (Histogram<u64>, Histogram<u64>) {
     let (mut first, mut gap) = (new_histogram(), new_histogram());
-    for done in done {
-        if let Some(span) = done.timed.first_token {
+    for record in records {
+        if let Some(span) = record.timed.first_token {
             first.saturating_record(micros(span));
         }
-        done.timed.gaps.iter().for_each(|span| gap.saturating_record(micros(*span)));
+        record.timed.gaps.iter().for_each(|span| gap.saturating_record(micros(*span)));
     }
     (first, gap)
 }
@@ -260,20 +261,20 @@
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// A histogram of microseconds up to a minute.
+/// Returns a histogram for values from one microsecond to one minute.
 #[allow(clippy::expect_used, reason = "constant bounds are valid")]
 pub fn new_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid bounds")
 }
 
-fn codes(done: &[Done]) -> BTreeMap<String, usize> {
+fn codes(records: &[Record]) -> BTreeMap<String, usize> {
     let mut codes = BTreeMap::new();
-    for done in done {
-        let code = match &done.timed.outcome {
+    for record in records {
+        let code = match &record.timed.outcome {
             Outcome::Answered { .. } => continue,
             Outcome::Refused(refused) => refused.code.clone(),
             Outcome::Broken { .. } => "broken_stream".to_owned(),
-            Outcome::Failed(why) | Outcome::Unsent(why) => format!("failed: {why}"),
+            Outcome::Failed(error) | Outcome::Unsent(error) => format!("failed: {error}"),
         };
         *codes.entry(code).or_insert(0) += 1;
     }
--- a/crates/bench/src/usage.rs
+++ b/crates/bench/src/usage.rs
@@ -1,11 +1,10 @@
-//! What this process uses, as Linux counts it.
+//! Resource usage of this process, read from Linux's procfs.
 
 use std::{fs, time::Duration};
 
-/// Bytes in a page of memory.
-const PAGE: u64 = 4_096;
+const PAGE_BYTES: u64 = 4_096;
 
-/// Processor time so far (`/proc/self/stat`, fields 14 and 15, in hundredths of a second).
+/// Returns the processor time used so far (`/proc/self/stat`, fields 14 and 15, in ticks of 10 ms).
 pub fn cpu_time() -> Duration {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let rest = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
@@ -14,15 +13,15 @@
     Duration::from_millis(ticks * 10)
 }
 
-/// Resident memory, bytes (`/proc/self/statm`, second field).
-pub fn resident() -> u64 {
+/// Returns the resident memory in bytes (`/proc/self/statm`, second field).
+pub fn resident_bytes() -> u64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = statm.split_whitespace().nth(1).and_then(|field| field.parse().ok()).unwrap_or(0);
-    pages * PAGE
+    pages * PAGE_BYTES
 }
 
-/// Bytes and packets that went over loopback so far, headers included (`/proc/net/dev`).
-pub fn loopback() -> (u64, u64) {
+/// Returns the bytes and packets received over loopback so far, headers included (`/proc/net/dev`).
+pub fn loopback_traffic() -> (u64, u64) {
     let devices = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = devices.lines().find(|line| line.trim_start().starts_with("lo:")).unwrap_or_default();
     let fields: Vec<u64> = line.split_whitespace().skip(1).filter_map(|field| field.parse().ok()).collect();
