--- a/crates/bench/src/cmd/demo.rs
+++ b/crates/bench/src/cmd/demo.rs
@@ -133,7 +133,7 @@
     let has_disconnected = caller.leave_after(&request, 5).await.is_ok();
     let pieces_before = used_pieces(fleet);
     drop(caller);
-    let is_freed = eventually(|| used_pieces(fleet) == 0).await;
+    let is_freed = wait_until(|| used_pieces(fleet) == 0).await;
     println!("  decode memory: {pieces_before} pieces before, {} after", used_pieces(fleet));
     tally.record("memory freed after a disconnect", has_disconnected && pieces_before > 0 && is_freed, false);
 }
@@ -142,7 +142,7 @@
     fleet.decode.iter().map(|engine| engine.memory().0).sum()
 }
 
-async fn eventually(condition: impl Fn() -> bool) -> bool {
+async fn wait_until(condition: impl Fn() -> bool) -> bool {
     let began = Instant::now();
     while began.elapsed() < TIMEOUT {
         if condition() {
--- a/crates/bench/tests/path.rs
+++ b/crates/bench/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path over real connections: entries, agents and stand-ins in one process.
+//! Tests of complete fleets: entries, agents and stand-in servers in one process, over loopback TCP.
 
 use std::time::Duration;
 
@@ -17,8 +17,8 @@
 };
 use tarragonhill_operator::{Client, OperatorError};
 
-/// Longest wait for what must come about; nothing is asserted about how long it takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum wait for an expected condition. The tests assert nothing about latency.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn shape() -> Shape {
     Shape {
@@ -40,16 +40,16 @@
     Caller::new(fleet.entry(entry).address(), key_of(tenant))
 }
 
-async fn eventually<F: Future<Output = bool>>(holds: impl Fn() -> F) -> bool {
-    let look = async {
-        while !holds().await {
+async fn wait_until<F: Future<Output = bool>>(condition: impl Fn() -> F) -> bool {
+    let poll = async {
+        while !condition().await {
             task::sleep(Duration::from_millis(20)).await;
         }
     };
-    future::timeout(PATIENCE, look).await.is_ok()
+    future::timeout(TIMEOUT, poll).await.is_ok()
 }
 
-fn run<F: Future>(test: impl FnOnce(Fleet) -> F) -> F::Output {
+fn with_fleet<F: Future>(test: impl FnOnce(Fleet) -> F) -> F::Output {
     task::block_on(async { test(Fleet::start(shape()).await.expect("the fleet starts")).await })
 }
 
@@ -61,34 +61,33 @@
 }
 
 #[test]
-fn answers_are_whole_streamed_or_not_through_every_entry() {
-    run(|fleet| async move {
+fn every_entry_returns_complete_answers() {
+    with_fleet(|fleet| async move {
         for (entry, stream) in [(0, true), (1, false), (2, true)] {
-            let wanted = completion(&format!("question {entry}"), 20, stream);
-            let timed = caller(&fleet, entry, "faculty").complete(&wanted).await;
-            assert!(timed.is_right(&wanted), "{:?}", timed.outcome);
+            let request = completion(&format!("question {entry}"), 20, stream);
+            let timed = caller(&fleet, entry, "faculty").complete(&request).await;
+            assert!(timed.is_right(&request), "{:?}", timed.outcome);
         }
         fleet.stop().await;
     });
 }
 
-/// A caller leaves in the middle of its stream. Unless that reaches the engine, its memory stays
-/// held until the answer nobody reads is done.
+/// The disconnect must reach the engine, or the memory stays in use until the answer is complete.
 #[test]
-fn memory_falls_free_when_the_caller_leaves() {
-    run(|fleet| async move {
-        let wanted = completion("never read to its end", 5_000, true);
-        caller(&fleet, 0, "faculty").leave_after(&wanted, 2).await.expect("the stream begins");
+fn decode_memory_is_freed_when_the_caller_disconnects() {
+    with_fleet(|fleet| async move {
+        let request = completion("never read to its end", 5_000, true);
+        caller(&fleet, 0, "faculty").leave_after(&request, 2).await.expect("the stream begins");
         let free = || async { fleet.decode.iter().all(|engine| engine.memory().0 == 0) };
-        assert!(eventually(free).await);
+        assert!(wait_until(free).await);
         fleet.stop().await;
     });
 }
 
-/// Bad input gets a clear 4xx that says "not run", and no engine sees it.
+/// Invalid requests get a 4xx response with `not_run`.
 #[test]
-fn bad_input_is_refused_and_reaches_no_engine() {
-    run(|fleet| async move {
+fn invalid_request_is_refused_and_reaches_no_engine() {
+    with_fleet(|fleet| async move {
         let address = fleet.entry(0).address();
         let head = |key: &str, length: usize| {
             format!(
@@ -129,14 +128,14 @@
     });
 }
 
-/// Sends bytes and reads what comes back at once.
+/// Sends raw bytes and reads the response up to the end of its JSON body.
 async fn raw(address: std::net::SocketAddr, bytes: &[u8]) -> String {
     let mut stream = async_std::net::TcpStream::connect(address).await.expect("connects");
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let mut part = [0; 4_096];
     while !String::from_utf8_lossy(&answer).contains('}') {
-        match future::timeout(PATIENCE, stream.read(&mut part)).await {
+        match future::timeout(TIMEOUT, stream.read(&mut part)).await {
             Ok(Ok(count)) if count > 0 => answer.extend_from_slice(&part[..count]),
             _ => break,
         }
@@ -144,10 +143,10 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// Whatever bytes a caller sends as a body, it gets a refusal and the entry lives.
+/// No body may crash the entry.
 #[test]
-fn any_body_is_refused_or_answered() {
-    run(|fleet| async move {
+fn arbitrary_text_as_body_is_refused() {
+    with_fleet(|fleet| async move {
         let caller = caller(&fleet, 0, "faculty");
         let mut generator = Gen::from_size_and_seed(60, 7);
         for _ in 0..100 {
@@ -160,14 +159,14 @@
     });
 }
 
-/// A tenant far over its burst is refused with the time to come back, and nothing of it runs.
+/// Requests beyond a customer's burst are refused with `retry_after`.
 #[test]
-fn over_rate_is_refused_as_not_run() {
-    run(|fleet| async move {
+fn request_over_the_rate_is_refused_as_not_run() {
+    with_fleet(|fleet| async move {
         let mut refused = 0;
         for number in 0..6 {
-            let wanted = completion(&format!("{number}{}", "x".repeat(3_000)), 4, false);
-            let timed = caller(&fleet, number % 3, "grants").complete(&wanted).await;
+            let request = completion(&format!("{number}{}", "x".repeat(3_000)), 4, false);
+            let timed = caller(&fleet, number % 3, "grants").complete(&request).await;
             if let Outcome::Refused(refusal) = &timed.outcome {
                 assert_eq!((refusal.code.as_str(), refusal.not_run), ("over_rate", true));
                 assert!(refusal.retry_after.is_some());
@@ -179,38 +178,37 @@
     });
 }
 
-/// A caller leaves each answer in its middle. Charged for nothing, its customer could have any
-/// number of prefills run beyond its rate.
+/// Without the charge, a customer could exceed its rate by disconnecting before the end of answers.
 #[test]
-fn leaving_early_is_not_free() {
-    run(|fleet| async move {
+fn request_is_charged_when_the_caller_disconnects() {
+    with_fleet(|fleet| async move {
         let caller = caller(&fleet, 0, "grants");
-        let wanted = completion(&"x".repeat(3_200), 100, true);
-        caller.leave_after(&wanted, 1).await.expect("the stream begins");
+        let request = completion(&"x".repeat(3_200), 100, true);
+        caller.leave_after(&request, 1).await.expect("the stream begins");
         let free = || async { fleet.decode.iter().all(|engine| engine.memory().0 == 0) };
-        assert!(eventually(free).await);
+        assert!(wait_until(free).await);
         let again = caller.complete(&completion(&"y".repeat(3_600), 90, false)).await;
         assert_eq!(refusal(&again.outcome), ("over_rate", true));
         fleet.stop().await;
     });
 }
 
-/// The plain service's answer is lost after the call took effect. The caller tries again under the
-/// same key, through another entry: the call must not be sent a second time.
+/// The service's response is lost after the call was executed. A retry with the same idempotency key
+/// through another entry must not execute the call again.
 #[test]
-fn call_with_a_lost_answer_is_never_sent_again() {
-    run(|fleet| async move {
+fn call_with_a_lost_response_is_not_repeated() {
+    with_fleet(|fleet| async move {
         fleet.plain.iter().for_each(|service| service.switches.set_lose(1_000));
         let path = format!("/v1/services/{SERVICE}/submissions");
-        let file = |entry| {
+        let submit = |entry| {
             let caller = caller(&fleet, entry, "faculty");
             let path = path.clone();
             async move { caller.call("POST", &path, &json!({"page": 1}), Some("s-1")).await.expect("an answer") }
         };
-        let (status, body) = file(0).await;
+        let (status, body) = submit(0).await;
         assert_eq!((status, body["error"]["code"].as_str()), (502, Some("outcome_unknown")));
         fleet.plain.iter().for_each(|service| service.switches.set_lose(0));
-        let (status, body) = file(1).await;
+        let (status, body) = submit(1).await;
         assert_eq!((status, body["error"]["code"].as_str()), (502, Some("outcome_unknown")));
         let executed: u32 = fleet.plain.iter().flat_map(|s| s.executions().into_values()).sum();
         assert_eq!(executed, 1);
@@ -218,39 +216,38 @@
     });
 }
 
-/// A call is given up before it is sent, and the write that says so looks lost and lands late. In
-/// between the call was made under the same key. The late write must not undo the record of that,
-/// or the next caller makes it again.
+/// The write that records a refused call is delayed until a retry with the same key has been executed.
+/// If it overwrote the outcome of the retry, the next retry would execute the call again.
 #[test]
-fn late_write_does_not_undo_a_record() {
-    run(|fleet| async move {
+fn delayed_write_does_not_overwrite_an_outcome() {
+    with_fleet(|fleet| async move {
         let late = Duration::from_secs(2);
         let caller = caller(&fleet, 0, "poor");
-        // Spends what the customer has, so that the call is given up for lack of tokens.
+        // Uses up the customer's tokens, so that the call is refused for exceeding the rate.
         let lookup = format!("/v1/services/{SERVICE}/records/1");
         caller.call("GET", &lookup, &json!(null), None).await.expect("an answer");
         fleet.table.delay_write("once/", 1, late);
         let path = format!("/v1/services/{SERVICE}/submissions");
         let body = json!({});
-        let file = || caller.call("POST", &path, &body, Some("s-3"));
-        let mut given_up = 0;
-        while file().await.expect("an answer").0 != 200 {
-            given_up += 1;
+        let submit = || caller.call("POST", &path, &body, Some("s-3"));
+        let mut refused_count = 0;
+        while submit().await.expect("an answer").0 != 200 {
+            refused_count += 1;
             task::sleep(Duration::from_millis(100)).await;
         }
-        assert!(given_up > 0, "the call was never given up");
+        assert!(refused_count > 0, "the call was never refused");
         task::sleep(late).await;
-        assert_eq!(file().await.expect("an answer").0, 200);
+        assert_eq!(submit().await.expect("an answer").0, 200);
         let executed: u32 = fleet.plain.iter().flat_map(|s| s.executions().into_values()).sum();
         assert_eq!(executed, 1);
         fleet.stop().await;
     });
 }
 
-/// The table is down before the call. Sent without a record, it might be repeated; it is refused.
+/// The table is down. A call sent without a record could be executed twice, so it must be refused.
 #[test]
-fn call_without_a_record_is_not_sent() {
-    run(|fleet| async move {
+fn call_is_refused_while_its_outcome_cannot_be_recorded() {
+    with_fleet(|fleet| async move {
         fleet.table.switches.set_down(true);
         let path = format!("/v1/services/{SERVICE}/submissions");
         let caller = caller(&fleet, 0, "faculty");
@@ -268,8 +265,8 @@
 }
 
 #[test]
-fn key_used_with_another_body_is_refused_and_belongs_to_its_customer() {
-    run(|fleet| async move {
+fn idempotency_key_is_bound_to_its_body_and_customer() {
+    with_fleet(|fleet| async move {
         let path = format!("/v1/services/{SERVICE}/submissions");
         let faculty = caller(&fleet, 0, "faculty");
         let one = faculty.call("POST", &path, &json!({"page": 1}), Some("k")).await.expect("an answer");
@@ -280,11 +277,10 @@
     });
 }
 
-/// A request crashes each engine it runs on and is sent again and again. After two crashes it is
-/// refused, and others are served.
+/// A request that crashed two engines is refused, and other requests are served.
 #[test]
 fn crashing_request_is_quarantined_and_others_are_served() {
-    run(|fleet| async move {
+    with_fleet(|fleet| async move {
         let poison = completion(POISON, 4, false);
         let caller = caller(&fleet, 0, "faculty");
         caller.complete(&poison).await;
@@ -292,29 +288,29 @@
         assert_eq!(refusal(&again.outcome), ("quarantined", true));
         let crashes: usize = fleet.prefill.iter().map(|engine| engine.starts.all().len()).sum();
         assert_eq!(crashes, 2);
-        let innocent = completion("innocent", 4, false);
-        assert!(caller.complete(&innocent).await.is_right(&innocent));
+        let harmless = completion("innocent", 4, false);
+        assert!(caller.complete(&harmless).await.is_right(&harmless));
         fleet.stop().await;
     });
 }
 
-/// A request crashes decode engines with everything that runs beside it. Its neighbours come out
-/// served, and it is refused at every entry after two crashes.
+/// A request crashes decode engines while they serve other requests. Those must be answered, and every
+/// entry must refuse the crashing request after two crashes.
 #[test]
-fn innocent_neighbours_of_a_crash_are_served() {
-    run(|fleet| async move {
-        let neighbours: Vec<_> = (0..12)
+fn other_requests_on_a_crashed_engine_are_served() {
+    with_fleet(|fleet| async move {
+        let others: Vec<_> = (0..12)
             .map(|number| {
-                let wanted = completion(&format!("neighbour {number}"), 60, true);
+                let request = completion(&format!("neighbour {number}"), 60, true);
                 let caller = caller(&fleet, number % 3, "faculty");
                 task::spawn(async move {
-                    let timed = caller.complete(&wanted).await;
-                    assert!(timed.is_right(&wanted), "{:?}", timed.outcome);
+                    let timed = caller.complete(&request).await;
+                    assert!(timed.is_right(&request), "{:?}", timed.outcome);
                 })
             })
             .collect();
         let busy = || async { fleet.decode.iter().all(|engine| engine.memory().1 > 0) };
-        assert!(eventually(busy).await);
+        assert!(wait_until(busy).await);
         let poison = completion(DECODE_POISON, 8, false);
         caller(&fleet, 0, "faculty").complete(&poison).await;
         for entry in 0..3 {
@@ -322,56 +318,55 @@
                 let timed = caller(&fleet, entry, "faculty").complete(&poison).await;
                 matches!(timed.outcome, Outcome::Refused(refused) if refused.code == "quarantined")
             };
-            assert!(eventually(refused).await);
+            assert!(wait_until(refused).await);
         }
-        for neighbour in neighbours {
-            neighbour.await;
+        for other in others {
+            other.await;
         }
         fleet.stop().await;
     });
 }
 
-/// A decode engine dies in the middle of an answer. The rest comes from another engine, and the
-/// caller sees one whole answer without a repeated token.
+/// The decode engine fails in the middle of an answer. The caller must receive the complete answer
+/// without repeated tokens.
 #[test]
-fn broken_decode_resumes_elsewhere() {
-    run(|fleet| async move {
-        let wanted = completion("resumed", 200, true);
+fn stream_resumes_on_another_decode_engine() {
+    with_fleet(|fleet| async move {
+        let request = completion("resumed", 200, true);
         let caller = caller(&fleet, 0, "faculty");
-        let asked = wanted.clone();
-        let answer = task::spawn(async move { caller.complete(&asked).await });
+        let sent = request.clone();
+        let answer = task::spawn(async move { caller.complete(&sent).await });
         let running = || async { fleet.decode.iter().any(|engine| engine.memory().1 > 0) };
-        assert!(eventually(running).await);
+        assert!(wait_until(running).await);
         let engine = fleet.decode.iter().find(|engine| engine.memory().1 > 0).expect("it runs");
         engine.switches.set_down(true);
         let timed = answer.await;
-        assert!(timed.is_right(&wanted), "{:?}", timed.outcome);
+        assert!(timed.is_right(&request), "{:?}", timed.outcome);
         fleet.stop().await;
     });
 }
 
-/// An entry is shut down while it streams an answer. The answer comes whole; new callers are told
-/// to go elsewhere.
+/// An entry that shuts down must complete the streams in progress.
 #[test]
-fn graceful_shutdown_cuts_no_request() {
-    run(|mut fleet| async move {
-        let wanted = completion("still running", 60, true);
+fn graceful_shutdown_completes_streams() {
+    with_fleet(|mut fleet| async move {
+        let request = completion("still running", 60, true);
         let caller = caller(&fleet, 1, "faculty");
-        let asked = wanted.clone();
-        let answer = task::spawn(async move { caller.complete(&asked).await });
+        let sent = request.clone();
+        let answer = task::spawn(async move { caller.complete(&sent).await });
         let running = || async { fleet.decode.iter().any(|engine| engine.memory().1 > 0) };
-        assert!(eventually(running).await);
+        assert!(wait_until(running).await);
         let entry = fleet.entries[1].take().expect("not killed");
         entry.shutdown().await;
-        assert!(answer.await.is_right(&wanted));
+        assert!(answer.await.is_right(&request));
         fleet.stop().await;
     });
 }
 
-/// Two operators confirm at once. One wins; the other is told clearly and changes nothing.
+/// Of two changes planned on the same version, the second is refused and has no effect.
 #[test]
-fn of_two_racing_operators_one_wins() {
-    run(|fleet| async move {
+fn only_one_of_two_concurrent_changes_is_confirmed() {
+    with_fleet(|fleet| async move {
         let put = |burst| Intent::PutCustomer { name: "grants".into(), rate: 1_000, burst, weight: 1 };
         let clients = [0, 1].map(|entry| Client::new(fleet.entry(entry).admin(), None));
         let first = clients[0].plan(&put(5_000)).await.expect("a plan");
@@ -383,15 +378,18 @@
         assert_eq!(settings["customers"]["grants"]["burst"], 5_000);
         assert_eq!(clients[1].resolve(&first.plan.id).await.expect("known")["outcome"], "confirmed");
         assert_eq!(clients[1].resolve(&second.plan.id).await.expect("known")["outcome"], "not_confirmed");
-        assert!(clients[1].confirm(&second).await.is_err(), "resolved as not confirmed, it stays so");
+        assert!(
+            clients[1].confirm(&second).await.is_err(),
+            "a plan resolved as not confirmed cannot be confirmed"
+        );
         fleet.stop().await;
     });
 }
 
-/// A key is withdrawn while the table's answers are lost. It stops working on every entry.
+/// The table's responses are lost while a key is withdrawn. Every entry must refuse the key.
 #[test]
-fn withdrawn_key_stops_everywhere_though_the_answer_is_lost() {
-    run(|fleet| async move {
+fn withdrawn_key_is_refused_although_the_confirmation_is_lost() {
+    with_fleet(|fleet| async move {
         let client = Client::new(fleet.entry(0).admin(), None);
         let intent = Intent::WithdrawKey { id: "grants-1".into(), running: WithdrawalPolicy::Cut };
         let planned = client.plan(&intent).await.expect("a plan");
@@ -404,24 +402,24 @@
             let path = format!("/v1/services/{SERVICE}/records/1");
             let refused =
                 || async { caller.call("GET", &path, &json!(null), None).await.is_ok_and(|a| a.0 == 401) };
-            assert!(eventually(refused).await);
+            assert!(wait_until(refused).await);
         }
         fleet.stop().await;
     });
 }
 
-/// A key is withdrawn while its prefill runs. The agent stops it, and the caller was told "not run"
-/// though the engine had worked on it: found by `check`, seed 12, as not-run-true broken.
+/// The key is withdrawn during the prefill. The refusal must not claim `not_run`, as the engine has
+/// started work.
 #[test]
-fn request_cut_in_its_prefill_is_not_called_not_run() {
+fn request_cancelled_during_prefill_is_not_reported_as_not_run() {
     let slow = prefill::Power { tokens_per_s: 50, ..prefill::Power::default() };
     task::block_on(async {
         let fleet = Fleet::start(Shape { prefill_power: slow, ..shape() }).await.expect("the fleet starts");
-        let wanted = completion(&"x".repeat(2_000), 4, false);
+        let request = completion(&"x".repeat(2_000), 4, false);
         let caller = caller(&fleet, 0, "grants");
-        let answer = task::spawn(async move { caller.complete(&wanted).await });
+        let answer = task::spawn(async move { caller.complete(&request).await });
         let running = || async { fleet.prefill.iter().any(|engine| !engine.starts.all().is_empty()) };
-        assert!(eventually(running).await);
+        assert!(wait_until(running).await);
         let client = Client::new(fleet.entry(0).admin(), None);
         let intent = Intent::WithdrawKey { id: "grants-1".into(), running: WithdrawalPolicy::Cut };
         let planned = client.plan(&intent).await.expect("a plan");
@@ -431,24 +429,24 @@
     });
 }
 
-/// A host is drained. New requests go elsewhere on every entry.
+/// After a host is drained, every entry sends new requests to other endpoints.
 #[test]
 fn drained_endpoint_gets_no_new_work() {
-    run(|fleet| async move {
+    with_fleet(|fleet| async move {
         let client = Client::new(fleet.entry(0).admin(), None);
         let planned =
             client.plan(&Intent::DrainHost { host: "host-prefill-0".into() }).await.expect("a plan");
         client.confirm(&planned).await.expect("confirmed");
-        let everywhere = || async {
+        let is_everywhere = || async {
             let known = client.resolve(&planned.plan.id).await;
             known.is_ok_and(|known| known["not_in_force_at"] == json!([]))
         };
-        assert!(eventually(everywhere).await);
+        assert!(wait_until(is_everywhere).await);
         let before = fleet.prefill[0].starts.all().len();
         for number in 0..9 {
-            let wanted = completion(&format!("after the drain {number}"), 2, false);
-            let timed = caller(&fleet, number % 3, "faculty").complete(&wanted).await;
-            assert!(timed.is_right(&wanted), "{:?}", timed.outcome);
+            let request = completion(&format!("after the drain {number}"), 2, false);
+            let timed = caller(&fleet, number % 3, "faculty").complete(&request).await;
+            assert!(timed.is_right(&request), "{:?}", timed.outcome);
         }
         assert_eq!(fleet.prefill[0].starts.all().len(), before);
         assert!(fleet.agents.contains_key(&format!("{}-0", Role::Prefill)));
--- a/crates/bench/tests/refusals.rs
+++ b/crates/bench/tests/refusals.rs
@@ -1,6 +1,6 @@
-//! Every way in which a request is refused leaves a line that tells its id and why.
+//! Tests that each kind of refusal is logged with the request id, code, status and reason.
 //!
-//! One test in a process of its own: the logger is the process's.
+//! This file holds a single test because the logger is global to the process.
 
 use std::{
     collections::BTreeMap,
@@ -18,11 +18,11 @@
 };
 use tarragonhill_h1::head::Request;
 
-/// What was logged.
+/// Captured log output in JSON lines.
 #[derive(Clone, Default)]
-struct Log(Arc<Mutex<Vec<u8>>>);
+struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl io::Write for Log {
+impl io::Write for LogBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).extend_from_slice(bytes);
         Ok(bytes.len())
@@ -33,7 +33,7 @@
     }
 }
 
-impl Log {
+impl LogBuffer {
     fn start() -> Self {
         let log = Self::default();
         let sink = WriteSink::builder().target(log.clone()).formatter(JsonFormatter::new()).build();
@@ -43,7 +43,7 @@
         log
     }
 
-    /// The refusals logged, by request: code, status and whether the request has not run.
+    /// Returns the logged refusals by request id: code, status and `not_run`.
     fn refusals(&self) -> BTreeMap<String, (String, u64, bool)> {
         let bytes = self.0.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let text = String::from_utf8_lossy(&bytes);
@@ -61,10 +61,10 @@
     }
 }
 
-/// A request that is to be refused.
+/// Request that must be refused.
 struct Case {
     head: Request,
-    /// The code and status expected, and whether the caller is told that it has not run.
+    /// Code, status and `not_run`.
     expected: (&'static str, u16, bool),
 }
 
@@ -72,7 +72,7 @@
     Case { head, expected: (code, status, not_run) }
 }
 
-async fn check(site: &Site, log: &Log, cases: Vec<Case>) {
+async fn check(site: &Site, log: &LogBuffer, cases: Vec<Case>) {
     for Case { head, expected: (code, status, not_run) } in cases {
         let id = head.fields.get("Tarragonhill-Request-Id").expect("an id").to_string();
         let answer = caller::ask(site.address(), head, b"x").await.expect("an answer");
@@ -82,14 +82,14 @@
     }
 }
 
-fn hurried(mut head: Request) -> Request {
+fn with_short_deadline(mut head: Request) -> Request {
     head.fields.set("Tarragonhill-Deadline-Ms", "300");
     head
 }
 
 #[test]
-fn every_refusal_has_its_line() {
-    let log = Log::start();
+fn every_refusal_is_logged_with_its_reason() {
+    let log = LogBuffer::start();
     task::block_on(async {
         let mut empty = Site::empty().await.expect("a store");
         empty.add_gateway().await.expect("a gateway");
@@ -98,7 +98,7 @@
 
         let shape = Shape { gateways: 1, prefill: 1, decode: 1, plain: 1 };
         let site = Site::start(shape).await.expect("the site starts");
-        let desk = site.endpoints(Role::Plain)[0].clone();
+        let service = site.endpoints(Role::Plain)[0].clone();
         let submit = |id: &str| plain("POST", "/submit/x", KEY, id);
         let stream = |id: &str, prompt| completion("/stream/x", KEY, id, prompt);
         let mut large = plain("POST", "/submit/x", SMALL_KEY, "spends");
@@ -114,21 +114,25 @@
         ];
         check(&site, &log, cases).await;
 
-        desk.set_fault(Fault::Refuse);
+        service.set_fault(Fault::Refuse);
         check(&site, &log, vec![case(submit("full"), "no_endpoint", 503, true)]).await;
-        desk.set_fault(Fault::ResetAfterRun);
+        service.set_fault(Fault::ResetAfterRun);
         check(&site, &log, vec![case(submit("lost"), "outcome_unknown", 502, false)]).await;
-        desk.set_fault(Fault::Hang);
-        check(&site, &log, vec![case(hurried(submit("late")), "timeout", 504, false)]).await;
-        let hopeless = hurried(stream("hopeless", 30_000));
-        check(&site, &log, vec![case(hopeless, "overloaded", 503, true)]).await;
+        service.set_fault(Fault::Hang);
+        check(&site, &log, vec![case(with_short_deadline(submit("late")), "timeout", 504, false)]).await;
+        let infeasible = with_short_deadline(stream("infeasible", 30_000));
+        check(&site, &log, vec![case(infeasible, "overloaded", 503, true)]).await;
         site.endpoints(Role::Decode)[0].set_fault(Fault::ResetAfterRun);
         check(&site, &log, vec![case(stream("broken", 5_000), "broken", 502, false)]).await;
 
-        let away = Site::start(Shape { plain: 0, ..shape }).await.expect("the site starts");
-        check(&away, &log, vec![case(plain("GET", "/lookup/x", KEY, "gone"), "no_endpoint", 503, true)])
-            .await;
-        // Told to stop, it sends streams elsewhere that could last longer than itself.
+        let without_service = Site::start(Shape { plain: 0, ..shape }).await.expect("the site starts");
+        check(
+            &without_service,
+            &log,
+            vec![case(plain("GET", "/lookup/x", KEY, "gone"), "no_endpoint", 503, true)],
+        )
+        .await;
+        // During shutdown the gateway refuses streams that could outlast its drain time.
         let mut stopping = Site::start(shape).await.expect("the site starts");
         let (address, gateway) = (stopping.address(), stopping.gateways.remove(0));
         let admin = gateway.admin();
