--- a/crates/bench/src/check/history.rs
+++ b/crates/bench/src/check/history.rs
@@ -86,7 +86,7 @@
     /// Times at which each endpoint started work.
     pub starts: BTreeMap<String, Vec<Duration>>,
     /// Whether any endpoint received a caller's API key.
-    pub key_seen: bool,
+    pub is_key_exposed: bool,
     /// Memory pieces in use at decode engines after all requests ended.
     pub pieces_in_use: u32,
     /// Confirmed changes.
--- a/crates/bench/src/check/invariant.rs
+++ b/crates/bench/src/check/invariant.rs
@@ -71,7 +71,7 @@
 }
 
 fn key_honoured(history: &History) -> Option<String> {
-    if history.key_seen {
+    if history.is_key_exposed {
         return Some("an endpoint received a caller's API key".into());
     }
     let foreign = history.submissions.iter().find_map(|(key, customers)| {
--- a/crates/bench/src/check/run.rs
+++ b/crates/bench/src/check/run.rs
@@ -353,7 +353,7 @@
     }
     for service in &fleet.plain {
         for execution in service.log() {
-            history.key_seen |= execution.key_seen;
+            history.is_key_exposed |= execution.key_seen;
             history.executed.insert(execution.request);
             history.submissions.entry(execution.idempotency_key).or_default().push(execution.customer);
         }
--- a/crates/bench/src/cmd/demo.rs
+++ b/crates/bench/src/cmd/demo.rs
@@ -31,13 +31,13 @@
 }
 
 impl Tally {
-    fn record(&mut self, step: &'static str, is_right: bool, answered: bool) {
+    fn record(&mut self, step: &'static str, is_correct: bool, answered: bool) {
         self.requests += 1;
         self.answered += u32::from(answered);
         self.refused += u32::from(!answered);
-        self.wrong += u32::from(!is_right);
+        self.wrong += u32::from(!is_correct);
         let counts = self.steps.entry(step).or_default();
-        counts.0 += u32::from(is_right);
+        counts.0 += u32::from(is_correct);
         counts.1 += 1;
     }
 
@@ -54,7 +54,7 @@
     let began = Instant::now();
     let mut shape = Shape::small();
     shape.tenants.push(Tenant::new("members", 2_000, 3_000));
-    println!("starting 3 entries, 7 agents and stand-ins ...");
+    println!("starting 3 entries, 7 agents and simulated servers ...");
     let fleet = Fleet::start(shape).await?;
     println!("ready after {} ms", began.elapsed().as_millis());
     let mut tally = Tally::default();
@@ -102,13 +102,13 @@
         }));
     }
     for (number, task) in tasks.into_iter().enumerate() {
-        let (tenant, is_right, timed) = task.await;
-        if number % 6 == 0 || !is_right {
+        let (tenant, is_correct, timed) = task.await;
+        if number % 6 == 0 || !is_correct {
             print_outcome(tenant, &timed);
         }
         tally.record(
             "mixed requests answered correctly",
-            is_right,
+            is_correct,
             matches!(timed.outcome, Outcome::Answered { .. }),
         );
     }
@@ -117,7 +117,7 @@
 async fn read_long_stream(fleet: &Fleet, tally: &mut Tally) {
     println!("one streamed answer of several hundred tokens:");
     let caller = Caller::new(fleet.entry(0).address(), key_of("faculty"));
-    // The stand-ins derive the answer's length from the prompt; this prompt gives over 300 tokens.
+    // The simulated engines derive the answer's length from the prompt; this prompt gives over 300 tokens.
     let request = completion(format!("a long evidence summary: {}", "source ".repeat(300)), 400, true);
     let timed = caller.complete(&request).await;
     print_outcome("faculty", &timed);
@@ -191,7 +191,7 @@
     }
     let (mut answered, mut refused) = (0, 0);
     for task in tasks {
-        let (is_right, timed) = task.await;
+        let (is_correct, timed) = task.await;
         match &timed.outcome {
             Outcome::Refused(refusal) => {
                 refused += 1;
@@ -201,7 +201,7 @@
             }
             _ => {
                 answered += 1;
-                tally.record("over rate: refused as not run or answered correctly", is_right, true);
+                tally.record("over rate: refused as not run or answered correctly", is_correct, true);
             }
         }
     }
--- a/crates/bench/src/cmd/overhead.rs
+++ b/crates/bench/src/cmd/overhead.rs
@@ -10,7 +10,7 @@
 use bpaf::Bpaf;
 use hdrhistogram::Histogram;
 use serde_json::json;
-use tarragonhill_http::client::{Call, Pool};
+use tarragonhill_http::client::{Pool, Request};
 
 use crate::{
     fleet::{Fleet, FleetError, SERVICE, Shape, Tenant, key_of},
@@ -41,7 +41,7 @@
     wall: Duration,
 }
 
-/// Sends the same small call directly and through the router, and prints the difference.
+/// Sends the same small request directly and through the router, and prints the difference.
 pub async fn execute(options: Options) -> Result<bool, FleetError> {
     let mut shape = Shape::small();
     (shape.entries, shape.prefill, shape.decode, shape.plain) = (1, 1, 1, 1);
@@ -50,10 +50,10 @@
     let fleet = Fleet::start(shape).await?;
     let direct_to = fleet.plain[0].address();
     let routed_to = fleet.entry(0).address();
-    let direct = move || (direct_to, Call::get("/records/7"));
+    let direct = move || (direct_to, Request::get("/records/7"));
     let routed = move || {
-        let call = Call::get(format!("/v1/services/{SERVICE}/records/7"));
-        (routed_to, call.header("authorization", format!("Bearer {}", key_of("caller"))))
+        let request = Request::get(format!("/v1/services/{SERVICE}/records/7"));
+        (routed_to, request.header("authorization", format!("Bearer {}", key_of("caller"))))
     };
     send_requests(WARM_UP_REQUESTS, options.callers, direct).await;
     send_requests(WARM_UP_REQUESTS, options.callers, routed).await;
@@ -64,9 +64,9 @@
     Ok(true)
 }
 
-async fn send_requests<F>(requests: usize, callers: usize, make_call: F) -> Measurement
+async fn send_requests<F>(requests: usize, callers: usize, make_request: F) -> Measurement
 where
-    F: Fn() -> (SocketAddr, Call) + Send + Sync + Copy + 'static,
+    F: Fn() -> (SocketAddr, Request) + Send + Sync + Copy + 'static,
 {
     let pool = Arc::new(Pool::default());
     let (began, cpu) = (Instant::now(), cpu_time());
@@ -74,7 +74,7 @@
     let tasks: Vec<_> = (0..callers)
         .map(|_| {
             let pool = pool.clone();
-            task::spawn(async move { send_sequentially(&pool, requests_per_caller, make_call).await })
+            task::spawn(async move { send_sequentially(&pool, requests_per_caller, make_request).await })
         })
         .collect();
     let mut latency = new_histogram();
@@ -87,13 +87,13 @@
 async fn send_sequentially(
     pool: &Pool,
     requests: usize,
-    make_call: impl Fn() -> (SocketAddr, Call),
+    make_request: impl Fn() -> (SocketAddr, Request),
 ) -> Histogram<u64> {
     let mut latency = new_histogram();
     for _ in 0..requests {
-        let (address, call) = make_call();
+        let (address, request) = make_request();
         let began = Instant::now();
-        let Ok(answer) = pool.send(address, call, TIMEOUT).await else { continue };
+        let Ok(answer) = pool.send(address, request, TIMEOUT).await else { continue };
         if answer.status() == 200 && answer.bytes().await.is_ok() {
             let micros = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
             latency.saturating_record(micros);
@@ -119,7 +119,7 @@
         routed_result.latency.value_at_quantile(quantile) as i64
             - direct_result.latency.value_at_quantile(quantile) as i64
     };
-    // Callers and stand-ins cost the same on both paths, so the difference is entry and agent.
+    // Callers and simulated servers cost the same on both paths, so the difference is entry and agent.
     let cpu = routed_result.cpu.saturating_sub(direct_result.cpu).as_secs_f64()
         / routed_result.latency.len().max(1) as f64;
     let unanswered = options.requests as u64 - routed_result.latency.len().min(options.requests as u64);
--- a/crates/bench/src/cmd/site.rs
+++ b/crates/bench/src/cmd/site.rs
@@ -1,4 +1,4 @@
-//! `site`: runs stand-in servers for manual tests of the daemons.
+//! `site`: runs simulated servers for manual tests of the daemons.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     },
 };
 
-/// Starts the stand-in servers, prints their addresses, and runs until the process is terminated.
+/// Starts the simulated servers, prints their addresses, and runs until the process is terminated.
 pub async fn execute() -> Result<bool, FleetError> {
     let table = Table::start(Rates::default()).await?;
     println!("table      {}", table.address());
--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -385,7 +385,7 @@
 }
 
 /// Measures idle links of one entry to its agents. The whole process is counted, so the cost of a link
-/// includes both ends, the stand-in table and the packet headers.
+/// includes both ends, the simulated table and the packet headers.
 async fn measure_links() -> Result<(), FleetError> {
     let mut series = Series::new("entry with agents", "links at rest, both ends", "agents");
     for n in AGENTS {
@@ -400,8 +400,8 @@
     Ok(())
 }
 
-/// Measures streams through one entry. The whole process is counted: callers, stand-ins, the entry and
-/// both ends of the link.
+/// Measures streams through one entry. The whole process is counted: callers, simulated servers, the
+/// entry and both ends of the link.
 async fn measure_streams() -> Result<(), FleetError> {
     let mut series = Series::new("entry, agent, caller and stand-ins", "streams", "streamed answers");
     for n in STREAMS {
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Complete fleet in one process: stand-in servers, agents and entries over loopback TCP.
+//! Complete fleet in one process: simulated servers, agents and entries over loopback TCP.
 
 use std::{collections::BTreeMap, fmt, io, net::SocketAddr, time::Duration};
 
@@ -17,7 +17,7 @@
     logging,
 };
 use tarragonhill_http::{
-    client::{Call, Pool},
+    client::{Pool, Request},
     server::Limits,
 };
 
@@ -105,7 +105,7 @@
 /// Failure to start a fleet.
 #[derive(Debug)]
 pub enum FleetError {
-    /// A stand-in server cannot listen.
+    /// A simulated server cannot listen.
     Io(io::Error),
     /// A daemon failed to start.
     Start(StartError),
@@ -116,7 +116,7 @@
 impl fmt::Display for FleetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Io(error) => write!(f, "failed to start a stand-in server: {error}"),
+            Self::Io(error) => write!(f, "failed to start a simulated server: {error}"),
             Self::Start(error) => write!(f, "failed to start a daemon: {error}"),
             Self::NotReady => f.write_str("timed out while waiting for the fleet to become ready"),
         }
@@ -259,7 +259,7 @@
             first_token: Duration::from_millis(900),
             first_token_timeout: Duration::from_secs(4),
             rate_wait: Duration::from_millis(300),
-            limits: Limits { body: 1 << 20, ..Limits::default() },
+            limits: Limits { max_body_bytes: 1 << 20, ..Limits::default() },
             policy: self.shape.policy,
             operator_token: None,
         };
@@ -334,6 +334,6 @@
 /// Fetches the state dump of the daemon with this admin address, or None if the request fails.
 pub async fn fetch_dump(admin: SocketAddr) -> Option<Value> {
     let pool = Pool::default();
-    let answer = pool.send(admin, Call::get("/dump"), Duration::from_secs(2)).await.ok()?;
+    let answer = pool.send(admin, Request::get("/dump"), Duration::from_secs(2)).await.ok()?;
     answer.json().await.ok()
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `tarragonhill-bench`: test servers, load generation and experiments, for tests and benchmarks only.
+//! `tarragonhill-bench`: simulated servers, load generation and experiments, for tests and benchmarks only.
 
 use std::process::ExitCode;
 
@@ -7,7 +7,7 @@
 use tarragonhill_bench::cmd::{check, demo, measure, overhead, site, slopes};
 use tarragonhill_daemon::logging;
 
-/// Test servers, load generation and experiments for the tarragonhill router
+/// Simulated servers, load generation and experiments for the tarragonhill router
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Options {
@@ -17,7 +17,7 @@
     /// Run random scenarios with faults and check every invariant on each history
     #[bpaf(command)]
     Check(#[bpaf(external(check::options))] check::Options),
-    /// Start stand-in servers for manual tests of the daemons
+    /// Start simulated servers for manual tests of the daemons
     #[bpaf(command)]
     Site,
     /// Measure the latency and processor time that the router adds to a request
--- a/crates/bench/tests/path.rs
+++ b/crates/bench/tests/path.rs
@@ -1,4 +1,4 @@
-//! Tests of complete fleets: entries, agents and stand-in servers in one process, over loopback TCP.
+//! Tests of complete fleets: entries, agents and simulated servers in one process, over loopback TCP.
 
 use std::time::Duration;
 
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -126,7 +126,7 @@
 type Rejection = Option<u16>;
 
 async fn read_head(connection: &mut Connection, limits: Limits) -> Result<Request, Rejection> {
-    let read = timeout(limits.head_timeout, connection.request(limits.max_head_bytes)).await;
+    let read = timeout(limits.head_timeout, connection.read_request(limits.max_head_bytes)).await;
     let head = read.map_err(|_| Some(408))?.map_err(rejection(431))?;
     let hosts = head.fields.count("host");
     if hosts != 1 || !head.target.starts_with('/') {
@@ -139,7 +139,7 @@
     move |error| match error {
         Error::Malformed(_) => Some(400),
         Error::TooLarge => Some(too_large),
-        Error::Closed | Error::Cut | Error::Io(_) => None,
+        Error::Closed | Error::Truncated | Error::Io(_) => None,
     }
 }
 
@@ -153,7 +153,7 @@
         written.map_err(|_| None)?;
     }
     let mut decoder = Decoder::new(framing);
-    let read = timeout(BODY_TIMEOUT, connection.whole(&mut decoder, limits.max_body_bytes)).await;
+    let read = timeout(BODY_TIMEOUT, connection.read_body(&mut decoder, limits.max_body_bytes)).await;
     read.map_err(|_| Some(408))?.map_err(rejection(413))
 }
 
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -44,7 +44,7 @@
                 all.get_mut(&endpoint.id)?.pop()?
             };
             // Bytes that arrived while the connection was idle would be taken for the next response.
-            if idle.until > self.clock.now() && idle.connection.is_quiet().await {
+            if idle.until > self.clock.now() && idle.connection.is_idle().await {
                 return Some(idle.connection);
             }
         }
--- a/crates/wire/src/knowledge.rs
+++ b/crates/wire/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What entries hand to one that lacks something of the store.
+//! Conversions of the store snapshot that a gateway replica sends to a peer.
 
 use std::{
     io::{self, Read as _, Write as _},
@@ -15,11 +15,11 @@
 
 use crate::{DecodeError, proto};
 
-/// Largest configuration that is taken from another entry, bytes: as large as the store's answers may be.
-const LARGEST_CONFIGURATION: u64 = 16 << 20;
+/// Limit on a decompressed configuration, equal to the limit on responses of the store.
+const MAX_CONFIGURATION_BYTES: u64 = 16 << 20;
 
-/// Deflates fast: the text of routes that are much alike shrinks to a tenth at any level.
-fn deflate(bytes: &[u8]) -> Vec<u8> {
+/// Compresses with zlib at the fastest level, which suffices for the repetitive text of routes.
+fn compress(bytes: &[u8]) -> Vec<u8> {
     if bytes.is_empty() {
         return Vec::new();
     }
@@ -28,17 +28,17 @@
     written.and_then(|()| encoder.finish()).expect("writing to memory does not fail")
 }
 
-fn inflate(bytes: &[u8]) -> io::Result<Vec<u8>> {
-    let mut inflated = Vec::new();
+fn decompress(bytes: &[u8]) -> io::Result<Vec<u8>> {
+    let mut decompressed = Vec::new();
     if bytes.is_empty() {
-        return Ok(inflated);
+        return Ok(decompressed);
     }
-    let mut decoder = ZlibDecoder::new(bytes).take(LARGEST_CONFIGURATION + 1);
-    decoder.read_to_end(&mut inflated)?;
-    if inflated.len() as u64 > LARGEST_CONFIGURATION {
+    let mut decoder = ZlibDecoder::new(bytes).take(MAX_CONFIGURATION_BYTES + 1);
+    decoder.read_to_end(&mut decompressed)?;
+    if decompressed.len() as u64 > MAX_CONFIGURATION_BYTES {
         return Err(io::ErrorKind::FileTooLarge.into());
     }
-    Ok(inflated)
+    Ok(decompressed)
 }
 
 impl From<&Snapshot> for proto::Knowledge {
@@ -60,7 +60,7 @@
         });
         Self {
             order: snapshot.versions.configuration,
-            configuration: deflate(&snapshot.configuration),
+            configuration: compress(&snapshot.configuration),
             list: snapshot.listing.version,
             endpoints: endpoints.collect(),
             newest: snapshot.versions.endpoints,
@@ -73,9 +73,9 @@
 
     fn try_from(snapshot: proto::Knowledge) -> Result<Self, DecodeError> {
         let rows: Result<Vec<Row>, DecodeError> = snapshot.endpoints.into_iter().map(Row::try_from).collect();
-        let configuration = inflate(&snapshot.configuration);
+        let configuration = decompress(&snapshot.configuration);
         let configuration =
-            configuration.map_err(|error| DecodeError::Unknown("configuration", error.to_string()))?;
+            configuration.map_err(|error| DecodeError::Invalid("configuration", error.to_string()))?;
         Ok(Self {
             versions: Versions { configuration: snapshot.order, endpoints: snapshot.newest },
             configuration: configuration.into(),
@@ -93,8 +93,8 @@
         }
         let id: Arc<str> = listed.id.into();
         let address =
-            listed.address.parse().map_err(|_| DecodeError::Unknown("address", listed.address.clone()))?;
-        let stage = listed.stage.parse().map_err(|_| DecodeError::Unknown("stage", listed.stage.clone()))?;
+            listed.address.parse().map_err(|_| DecodeError::Invalid("address", listed.address.clone()))?;
+        let stage = listed.stage.parse().map_err(|_| DecodeError::Invalid("stage", listed.stage.clone()))?;
         let endpoint = Endpoint {
             id: id.clone(),
             started_ms: listed.born,
