--- a/crates/bench/src/cmd/demo.rs
+++ b/crates/bench/src/cmd/demo.rs
@@ -197,11 +197,11 @@
                 refused += 1;
                 let is_expected =
                     refusal.code == "over_rate" && refusal.not_run && refusal.retry_after.is_some();
-                tally.record("over rate: refused as not run or answered correctly", is_expected, false);
+                tally.record("over rate: refused as not run, or correct", is_expected, false);
             }
             _ => {
                 answered += 1;
-                tally.record("over rate: refused as not run or answered correctly", is_correct, true);
+                tally.record("over rate: refused as not run, or correct", is_correct, true);
             }
         }
     }
