--- a/crates/bench/src/check/history.rs
+++ b/crates/bench/src/check/history.rs
@@ -12,7 +12,7 @@
 
 /// Payload of a request.
 #[derive(Clone, Debug)]
-pub enum Sent {
+pub enum Payload {
     /// Completion.
     Completion(Completion),
     /// Call of the plain service with an idempotency key.
@@ -32,7 +32,7 @@
     /// Index of the entry that received the request.
     pub entry: usize,
     /// Payload.
-    pub sent: Sent,
+    pub payload: Payload,
     /// Send time since the start of the run.
     pub began: Duration,
     /// Time of the last answer since the start of the run.
@@ -65,7 +65,7 @@
 
 /// Change that was confirmed to the operator.
 #[derive(Clone, Debug)]
-pub struct Confirmed {
+pub struct Confirmation {
     /// Changed setting.
     pub change: Change,
     /// Time of the confirmation since the start of the run.
@@ -90,7 +90,7 @@
     /// Memory pieces in use at decode engines after all requests ended.
     pub pieces_in_use: u32,
     /// Confirmed changes.
-    pub confirmed: Vec<Confirmed>,
+    pub confirmations: Vec<Confirmation>,
     /// Sampled settings versions of each entry process in time order; the key holds the entry's name
     /// and incarnation.
     pub versions: BTreeMap<String, Vec<(Duration, u64)>>,
--- a/crates/bench/src/check/invariant.rs
+++ b/crates/bench/src/check/invariant.rs
@@ -5,7 +5,7 @@
 
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
-use super::history::{Call, Change, Confirmed, History, Sent};
+use super::history::{Call, Change, Confirmation, History, Payload};
 use crate::{caller::Outcome, standin};
 
 /// Time within which a withdrawn key, a drain or new settings must be in force everywhere.
@@ -79,17 +79,16 @@
         let other = customers.iter().find(|customer| *customer != owner)?;
         Some(format!("submission {key} was executed for {other}"))
     });
-    foreign
-        .or_else(|| history.confirmed.iter().find_map(|confirmed| used_after_withdrawal(history, confirmed)))
+    foreign.or_else(|| history.confirmations.iter().find_map(|confirmation| late_use(history, confirmation)))
 }
 
-fn used_after_withdrawal(history: &History, confirmed: &Confirmed) -> Option<String> {
-    let Change::Withdrawn(tenant) = &confirmed.change else { return None };
-    let late_use = history.calls.iter().find(|call| {
+fn late_use(history: &History, confirmation: &Confirmation) -> Option<String> {
+    let Change::Withdrawn(tenant) = &confirmation.change else { return None };
+    let late_call = history.calls.iter().find(|call| {
         let answered = call.answers.iter().any(|answer| matches!(answer, Outcome::Answered { .. }));
-        call.tenant == *tenant && call.began > confirmed.at + PROPAGATION_TIMEOUT && answered
+        call.tenant == *tenant && call.began > confirmation.at + PROPAGATION_TIMEOUT && answered
     })?;
-    Some(format!("{tenant} was served {:?} after its key was withdrawn", late_use.began - confirmed.at))
+    Some(format!("{tenant} was served {:?} after its key was withdrawn", late_call.began - confirmation.at))
 }
 
 fn within_rate(history: &History) -> Option<String> {
@@ -109,7 +108,7 @@
 }
 
 fn served_tokens(call: &Call) -> f64 {
-    let Sent::Completion(completion) = &call.sent else { return 0.0 };
+    let Payload::Completion(completion) = &call.payload else { return 0.0 };
     let tokens = call.answers.iter().map(|answer| match answer {
         Outcome::Answered { text } => completion.prompt.len().div_ceil(4) + text.split_whitespace().count(),
         Outcome::Broken { .. } | Outcome::Refused(_) | Outcome::Failed(_) | Outcome::Unsent(_) => 0,
@@ -118,7 +117,7 @@
 }
 
 fn whole_answer(call: &Call) -> Option<String> {
-    let Sent::Completion(completion) = &call.sent else { return None };
+    let Payload::Completion(completion) = &call.payload else { return None };
     let expected = standin::answer(&completion.prompt, completion.max_tokens);
     let wrong = call.answers.iter().find(|answer| match answer {
         Outcome::Answered { text } => *text != expected,
@@ -144,11 +143,11 @@
 }
 
 fn leaving_left_alone(history: &History) -> Option<String> {
-    history.confirmed.iter().find_map(|confirmed| {
-        let Change::Drained(endpoint) = &confirmed.change else { return None };
+    history.confirmations.iter().find_map(|confirmation| {
+        let Change::Drained(endpoint) = &confirmation.change else { return None };
         let starts = history.starts.get(endpoint)?;
-        let late_start = starts.iter().find(|at| **at > confirmed.at + PROPAGATION_TIMEOUT)?;
-        Some(format!("{endpoint} received work {:?} after it was drained", *late_start - confirmed.at))
+        let late_start = starts.iter().find(|at| **at > confirmation.at + PROPAGATION_TIMEOUT)?;
+        Some(format!("{endpoint} received work {:?} after it was drained", *late_start - confirmation.at))
     })
 }
 
@@ -176,7 +175,7 @@
     });
     reverted.or_else(|| {
         let newest = history
-            .confirmed
+            .confirmations
             .iter()
             .filter(|c| history.ended > c.at + PROPAGATION_TIMEOUT)
             .map(|c| c.version)
--- a/crates/bench/src/check/run.rs
+++ b/crates/bench/src/check/run.rs
@@ -14,7 +14,7 @@
 use tarragonhill_operator::Client;
 
 use super::{
-    history::{Call, Change, Confirmed, History, Sent, Shutdown},
+    history::{Call, Change, Confirmation, History, Payload, Shutdown},
     invariant::Invariant,
     scenario::{ENTRIES, Fault, Scenario, Step, TENANTS},
 };
@@ -164,7 +164,7 @@
         let began = recorder.now();
         let timed = caller.complete(&completion).await;
         let request = request_of(&timed.outcome);
-        record(&recorder, tenant, entry, Sent::Completion(completion), began, timed.outcome, request);
+        record(&recorder, tenant, entry, Payload::Completion(completion), began, timed.outcome, request);
     }))
 }
 
@@ -179,7 +179,7 @@
     recorder: &Recorder,
     tenant: usize,
     entry: usize,
-    sent: Sent,
+    payload: Payload,
     began: Duration,
     outcome: Outcome,
     request: Option<String>,
@@ -189,7 +189,7 @@
         answers.push(answers[0].clone());
     }
     let ended = recorder.now();
-    let call = Call { tenant: TENANTS[tenant].into(), entry, sent, began, ended, answers, request };
+    let call = Call { tenant: TENANTS[tenant].into(), entry, payload, began, ended, answers, request };
     recorder.update(|history| history.calls.push(call));
 }
 
@@ -223,8 +223,8 @@
             Err(error) => Outcome::from(error),
         };
         let request = request_of(&outcome);
-        let sent = Sent::Submission { key, body: body.to_string() };
-        record(&recorder, tenant, entry, sent, began, outcome, request);
+        let payload = Payload::Submission { key, body: body.to_string() };
+        record(&recorder, tenant, entry, payload, began, outcome, request);
     }))
 }
 
@@ -234,7 +234,7 @@
     let Ok(planned) = client.plan(&intent).await else { return };
     if let Ok(version) = client.confirm(&planned).await {
         let at = recorder.now();
-        recorder.update(|history| history.confirmed.push(Confirmed { change, at, version }));
+        recorder.update(|history| history.confirmations.push(Confirmation { change, at, version }));
     }
 }
 
@@ -263,7 +263,7 @@
             if let Ok(version) = client.confirm(&planned).await {
                 let at = recorder.now();
                 let change = Change::Burst(burst);
-                recorder.update(|history| history.confirmed.push(Confirmed { change, at, version }));
+                recorder.update(|history| history.confirmations.push(Confirmation { change, at, version }));
             }
         }));
     }
@@ -437,7 +437,7 @@
         Invariant::NotRunTrue => record_false_refusal(recorder),
         Invariant::LeavingLeftAlone => {
             let (change, at) = (Change::Drained("prefill-0".into()), Duration::ZERO);
-            recorder.update(|history| history.confirmed.push(Confirmed { change, at, version: 0 }));
+            recorder.update(|history| history.confirmations.push(Confirmation { change, at, version: 0 }));
             task::sleep(Duration::from_secs(8)).await;
             for number in 0..12 {
                 calls.extend(complete(fleet, recorder, 1, 1, completion(number, 2)));
@@ -472,7 +472,7 @@
         recorder,
         0,
         0,
-        Sent::Completion(completion),
+        Payload::Completion(completion),
         now,
         Outcome::Refused(refused),
         Some("injected".into()),
--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -134,7 +134,7 @@
     format!("{kind}-{number}").into()
 }
 
-fn customer_terms() -> Customer {
+fn customer_limits() -> Customer {
     Customer { rate: 10_000, burst: 20_000, weight: 1 }
 }
 
@@ -143,7 +143,7 @@
     let mut rows = Vec::new();
     for number in 0..customers {
         let customer = numbered("customer", number);
-        rows.push(Row::Customer(customer.clone(), Some(customer_terms())));
+        rows.push(Row::Customer(customer.clone(), Some(customer_limits())));
         let key = Key {
             id: numbered("key", number),
             customer: customer.clone(),
@@ -179,7 +179,7 @@
         let before = resident_bytes();
         let snapshot = snapshot(n);
         let bytes = resident_bytes().saturating_sub(before) as f64;
-        let row = [Row::Customer(numbered("customer", 5), Some(customer_terms()))];
+        let row = [Row::Customer(numbered("customer", 5), Some(customer_limits()))];
         let (rounds, began) = (20, Instant::now());
         for version in 0..rounds {
             std::hint::black_box(snapshot.apply(2 + version, &row));
--- a/crates/bench/src/score.rs
+++ b/crates/bench/src/score.rs
@@ -179,9 +179,9 @@
     tenants.iter().map(|tenant| Bucket::full(tenant.rate, tenant.burst, Time::ZERO)).collect()
 }
 
-fn count_by_tenant(records: &[Record], tenants: &[Tenant], holds: fn(&Record) -> bool) -> Vec<usize> {
+fn count_by_tenant(records: &[Record], tenants: &[Tenant], predicate: fn(&Record) -> bool) -> Vec<usize> {
     let mut counts = vec![0; tenants.len()];
-    records.iter().filter(|record| holds(record)).for_each(|record| counts[record.arrival.tenant] += 1);
+    records.iter().filter(|record| predicate(record)).for_each(|record| counts[record.arrival.tenant] += 1);
     counts
 }
 
--- a/crates/bench/tests/path.rs
+++ b/crates/bench/tests/path.rs
@@ -221,12 +221,12 @@
 #[test]
 fn delayed_write_does_not_overwrite_an_outcome() {
     with_fleet(|fleet| async move {
-        let late = Duration::from_secs(2);
+        let delay = Duration::from_secs(2);
         let caller = caller(&fleet, 0, "poor");
         // Uses up the customer's tokens, so that the call is refused for exceeding the rate.
         let lookup = format!("/v1/services/{SERVICE}/records/1");
         caller.call("GET", &lookup, &json!(null), None).await.expect("an answer");
-        fleet.table.delay_write("once/", 1, late);
+        fleet.table.delay_write("once/", 1, delay);
         let path = format!("/v1/services/{SERVICE}/submissions");
         let body = json!({});
         let submit = || caller.call("POST", &path, &body, Some("s-3"));
@@ -236,7 +236,7 @@
             task::sleep(Duration::from_millis(100)).await;
         }
         assert!(refused_count > 0, "the call was never refused");
-        task::sleep(late).await;
+        task::sleep(delay).await;
         assert_eq!(submit().await.expect("an answer").0, 200);
         let executed: u32 = fleet.plain.iter().flat_map(|s| s.executions().into_values()).sum();
         assert_eq!(executed, 1);
