--- a/crates/bench/src/check/invariant.rs
+++ b/crates/bench/src/check/invariant.rs
@@ -6,7 +6,7 @@
 use strum::{Display, EnumIter, EnumString, IntoStaticStr};
 
 use super::history::{Call, Change, Confirmation, History, Payload};
-use crate::{caller::Outcome, standin};
+use crate::{caller::Outcome, sim};
 
 /// Time within which a withdrawn key, a drain or new settings must be in force everywhere.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(8);
@@ -118,7 +118,7 @@
 
 fn whole_answer(call: &Call) -> Option<String> {
     let Payload::Completion(completion) = &call.payload else { return None };
-    let expected = standin::answer(&completion.prompt, completion.max_tokens);
+    let expected = sim::output_text(&completion.prompt, completion.max_tokens);
     let wrong = call.answers.iter().find(|answer| match answer {
         Outcome::Answered { text } => *text != expected,
         Outcome::Broken { text, .. } => !expected.starts_with(text.as_str()),
@@ -157,7 +157,7 @@
             let spans_shutdown =
                 call.entry == shutdown.entry && call.began < shutdown.began && call.ended > shutdown.began;
             let is_cut =
-                |answer: &Outcome| matches!(answer, Outcome::Failed(_) | Outcome::Broken { told: false, .. });
+                |end: &Outcome| matches!(end, Outcome::Failed(_) | Outcome::Broken { has_error: false, .. });
             spans_shutdown && call.answers.iter().any(is_cut)
         })?;
         Some(format!(
--- a/crates/bench/src/check/run.rs
+++ b/crates/bench/src/check/run.rs
@@ -19,9 +19,9 @@
     scenario::{ENTRIES, Fault, Scenario, Step, TENANTS},
 };
 use crate::{
-    caller::{Caller, Completion, Outcome, Refused},
+    caller::{Caller, Completion, Outcome, Refusal},
     fleet::{Fleet, FleetError, MODEL, SERVICE, Shape, Tenant, fetch_dump, key_of},
-    standin::{POISON, decode, lock, prefill},
+    sim::{POISON, decode, lock, prefill},
 };
 
 /// Duration of temporary faults.
@@ -86,11 +86,11 @@
         decode: 2,
         plain: 1,
         tenants,
-        prefill_power: prefill::Power { tokens_per_s: 400_000, ..prefill::Power::default() },
-        decode_power: decode::Power {
+        prefill_profile: prefill::Profile { tokens_per_s: 400_000, ..prefill::Profile::default() },
+        decode_profile: decode::Profile {
             pieces: 24,
             step: Duration::from_millis(4),
-            step_each: Duration::from_micros(200),
+            step_per_request: Duration::from_micros(200),
         },
         ..Shape::small()
     }
@@ -198,7 +198,7 @@
     let prompt = format!("{} leaves early, {number}", TENANTS[tenant]);
     let completion = Completion { model: MODEL.into(), prompt, max_tokens: 400, stream: true };
     Some(task::spawn(async move {
-        let _ = caller.leave_after(&completion, 3).await;
+        let _ = caller.disconnect_after(&completion, 3).await;
     }))
 }
 
@@ -219,7 +219,7 @@
         let answer = caller.call("POST", &path, &body, Some(&key)).await;
         let outcome = match answer {
             Ok((200, body)) => Outcome::Answered { text: body.to_string() },
-            Ok((status, body)) => Outcome::Refused(Refused::read(status, &body, None)),
+            Ok((status, body)) => Outcome::Refused(Refusal::parse(status, &body, None)),
             Err(error) => Outcome::from(error),
         };
         let request = request_of(&outcome);
@@ -297,43 +297,42 @@
                 agent.kill().await;
             }
         }
-        Fault::DecodeCrash => set_briefly(&fleet.decode[0].switches, |switches, on| switches.set_down(on)),
-        Fault::PrefillCrash => set_briefly(&fleet.prefill[0].switches, |switches, on| switches.set_down(on)),
-        Fault::DecodeSilent => set_briefly(&fleet.decode[0].switches, |switches, on| switches.set_silent(on)),
-        Fault::TransferStalled => set_briefly(&fleet.prefill[0].switches, |switches, on| {
-            switches.set_slow(if on { Duration::from_millis(900) } else { Duration::ZERO });
+        Fault::DecodeCrash => set_briefly(&fleet.decode[0].faults, |faults, on| faults.set_down(on)),
+        Fault::PrefillCrash => set_briefly(&fleet.prefill[0].faults, |faults, on| faults.set_down(on)),
+        Fault::DecodeSilent => set_briefly(&fleet.decode[0].faults, |faults, on| faults.set_unresponsive(on)),
+        Fault::TransferStalled => set_briefly(&fleet.prefill[0].faults, |faults, on| {
+            faults.set_delay(if on { Duration::from_millis(900) } else { Duration::ZERO });
         }),
-        Fault::TableDown => set_briefly(&fleet.table.switches, |switches, on| switches.set_down(on)),
-        Fault::TableSlow => set_briefly(&fleet.table.switches, |switches, on| {
-            switches.set_slow(if on { Duration::from_millis(400) } else { Duration::ZERO });
+        Fault::TableDown => set_briefly(&fleet.table.faults, |faults, on| faults.set_down(on)),
+        Fault::TableSlow => set_briefly(&fleet.table.faults, |faults, on| {
+            faults.set_delay(if on { Duration::from_millis(400) } else { Duration::ZERO });
         }),
         Fault::TableLosesAnswers => {
-            set_briefly(&fleet.table.switches, |switches, on| switches.set_lose(if on { 500 } else { 0 }));
+            set_briefly(&fleet.table.faults, |faults, on| faults.set_loss_rate(if on { 500 } else { 0 }));
         }
         Fault::ServiceLosesAnswers => {
-            set_briefly(&fleet.plain[0].switches, |switches, on| switches.set_lose(if on { 500 } else { 0 }));
+            set_briefly(&fleet.plain[0].faults, |faults, on| faults.set_loss_rate(if on { 500 } else { 0 }));
         }
     }
     Ok(())
 }
 
-fn set_briefly(switches: &Arc<crate::standin::Switches>, set: fn(&crate::standin::Switches, bool)) {
-    let switches = switches.clone();
-    set(&switches, true);
+fn set_briefly(faults: &Arc<crate::sim::Faults>, set: fn(&crate::sim::Faults, bool)) {
+    let faults = faults.clone();
+    set(&faults, true);
     task::spawn(async move {
         task::sleep(FAULT_DURATION).await;
-        set(&switches, false);
+        set(&faults, false);
     });
 }
 
 fn clear_faults(fleet: &Fleet) {
-    let engines = fleet.prefill.iter().map(|engine| &engine.switches);
-    let all =
-        engines.chain(fleet.decode.iter().map(|engine| &engine.switches)).chain([&fleet.table.switches]);
-    for switches in all {
-        switches.set_down(false);
-        switches.set_silent(false);
-        switches.set_slow(Duration::ZERO);
+    let engines = fleet.prefill.iter().map(|engine| &engine.faults);
+    let all = engines.chain(fleet.decode.iter().map(|engine| &engine.faults)).chain([&fleet.table.faults]);
+    for faults in all {
+        faults.set_down(false);
+        faults.set_unresponsive(false);
+        faults.set_delay(Duration::ZERO);
     }
 }
 
@@ -353,7 +352,7 @@
     }
     for service in &fleet.plain {
         for execution in service.log() {
-            history.is_key_exposed |= execution.key_seen;
+            history.is_key_exposed |= execution.has_authorization;
             history.executed.insert(execution.request);
             history.submissions.entry(execution.idempotency_key).or_default().push(execution.customer);
         }
@@ -367,7 +366,7 @@
     }
 }
 
-fn collect_starts(recorder: &Recorder, history: &mut History, name: &str, starts: &crate::standin::Starts) {
+fn collect_starts(recorder: &Recorder, history: &mut History, name: &str, starts: &crate::sim::StartLog) {
     for (at, work) in starts.all() {
         let request = work.split('-').next().unwrap_or_default().to_owned();
         history.executed.insert(request);
@@ -379,11 +378,11 @@
 /// Injects a defect that the router cannot detect, so that only the checker can.
 fn inject_defect(fleet: &mut Fleet, defect: Option<Invariant>) {
     match defect {
-        Some(Invariant::MemoryFreed) => fleet.decode.iter().for_each(|e| e.switches.set_defect(true)),
+        Some(Invariant::MemoryFreed) => fleet.decode.iter().for_each(|e| e.faults.set_defect(true)),
         Some(Invariant::WholeAnswer) => {
-            fleet.decode.iter().for_each(|engine| engine.switches.set_crossed(true))
+            fleet.decode.iter().for_each(|engine| engine.faults.set_wrong_output(true))
         }
-        Some(Invariant::AtMostOnce) => fleet.plain.iter().for_each(|s| s.switches.set_defect(true)),
+        Some(Invariant::AtMostOnce) => fleet.plain.iter().for_each(|s| s.faults.set_defect(true)),
         Some(Invariant::KeyHonoured) => {
             let key = format!("settings/key/{}", tarragonhill_core::settings::digest(&key_of(TENANTS[0])));
             let value = json!({ "id": "crossed", "customer": TENANTS[1] });
@@ -458,7 +457,7 @@
 
 /// Records a refusal with `not_run` for a request that was executed.
 fn record_false_refusal(recorder: &Recorder) {
-    let refused = Refused {
+    let refused = Refusal {
         status: 503,
         code: "overloaded".into(),
         not_run: true,
--- a/crates/bench/src/cmd/demo.rs
+++ b/crates/bench/src/cmd/demo.rs
@@ -11,7 +11,7 @@
 use tarragonhill_operator::Client;
 
 use crate::{
-    caller::{Caller, Completion, Outcome, Timed},
+    caller::{Caller, Completion, Outcome, TimedOutcome},
     fleet::{Fleet, FleetError, MODEL, SERVICE, Shape, Tenant, key_of},
 };
 
@@ -76,7 +76,7 @@
     Completion { model: MODEL.to_owned(), prompt, max_tokens, stream }
 }
 
-fn print_outcome(label: &str, timed: &Timed) {
+fn print_outcome(label: &str, timed: &TimedOutcome) {
     let text = match &timed.outcome {
         Outcome::Answered { text } => {
             let start: String = text.chars().take(MAX_SHOWN_CHARS).collect();
@@ -98,7 +98,7 @@
         let request = completion(prompt, 40, number % 3 != 0);
         tasks.push(task::spawn(async move {
             let timed = caller.complete(&request).await;
-            (tenant, timed.is_right(&request), timed)
+            (tenant, timed.is_correct(&request), timed)
         }));
     }
     for (number, task) in tasks.into_iter().enumerate() {
@@ -122,7 +122,7 @@
     let timed = caller.complete(&request).await;
     print_outcome("faculty", &timed);
     let is_long = timed.gaps.len() >= 200;
-    tally.record("stream of several hundred tokens", timed.is_right(&request) && is_long, true);
+    tally.record("stream of several hundred tokens", timed.is_correct(&request) && is_long, true);
 }
 
 /// Disconnects in the middle of an answer and waits until the engine frees its memory.
@@ -130,7 +130,7 @@
     println!("one caller disconnects after 5 tokens:");
     let caller = Caller::new(fleet.entry(1).address(), key_of("faculty"));
     let request = completion(format!("never read to its end: {}", "page ".repeat(400)), 400, true);
-    let has_disconnected = caller.leave_after(&request, 5).await.is_ok();
+    let has_disconnected = caller.disconnect_after(&request, 5).await.is_ok();
     let pieces_before = used_pieces(fleet);
     drop(caller);
     let is_freed = wait_until(|| used_pieces(fleet) == 0).await;
@@ -186,7 +186,7 @@
         let request = completion(format!("firing log {number}: {}", "charge ".repeat(500)), 20, false);
         tasks.push(task::spawn(async move {
             let timed = caller.complete(&request).await;
-            (timed.is_right(&request), timed)
+            (timed.is_correct(&request), timed)
         }));
     }
     let (mut answered, mut refused) = (0, 0);
--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -363,11 +363,11 @@
     let fleet = Fleet::start(shape).await?;
     task::sleep(SETTLE_TIME).await;
     let (cpu, (bytes, packets)) = (cpu_time(), loopback_traffic());
-    let (reads, writes) = fleet.table.served();
+    let (reads, writes) = fleet.table.request_counts();
     task::sleep(MEASURING_TIME).await;
     let seconds = MEASURING_TIME.as_secs_f64();
     let (end_bytes, end_packets) = loopback_traffic();
-    let (end_reads, end_writes) = fleet.table.served();
+    let (end_reads, end_writes) = fleet.table.request_counts();
     let point = Point {
         n: 0,
         cpu_us_per_s: cpu_time().saturating_sub(cpu).as_secs_f64() * 1e6 / seconds,
@@ -385,7 +385,7 @@
 }
 
 /// Measures idle links of one entry to its agents. The whole process is counted, so the cost of a link
-/// includes both ends, the simulated table and the packet headers.
+/// includes both ends, the simulated table and packet headers.
 async fn measure_links() -> Result<(), FleetError> {
     let mut series = Series::new("entry with agents", "links at rest, both ends", "agents");
     for n in AGENTS {
@@ -408,7 +408,7 @@
         let mut shape = idle_shape(1, 0);
         (shape.prefill, shape.decode) = (1, 1);
         shape.tenants = vec![Tenant::new("reader", 10_000_000, 10_000_000)];
-        (shape.decode_power.pieces, shape.decode_power.step_each) = (1_000, Duration::ZERO);
+        (shape.decode_profile.pieces, shape.decode_profile.step_per_request) = (1_000, Duration::ZERO);
         let fleet = Fleet::start(shape).await?;
         let streams: Vec<_> =
             (0..n).map(|number| task::spawn(read_stream(fleet.entry(0).address(), number))).collect();
--- /dev/null
+++ b/crates/bench/src/platform/endpoint.rs
@@ -0,0 +1,518 @@
+//! A simulated endpoint: a model engine for prefill or decode, or a plain service.
+
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    io,
+    net::SocketAddr,
+    sync::{Arc, Mutex},
+    time::Duration,
+};
+
+use async_std::task;
+use bytes::Bytes;
+use futures_lite::future;
+use serde_json::{Value, json};
+use strum::{Display, EnumIter};
+use tarragonhill_h1::{
+    Connection,
+    body::{LAST_CHUNK, chunk},
+    head::{Request, Response},
+};
+
+use super::server::{Action, Server};
+use crate::sim::lock;
+
+/// Time between two events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(5);
+/// Delay of [`Fault::RefuseLate`]; longer than the hedging delay of the gateway.
+const LATE_REFUSAL_DELAY: Duration = Duration::from_millis(700);
+/// Number of events in a complete stream.
+pub const EVENT_COUNT: u32 = 20;
+
+/// Role of an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
+#[strum(serialize_all = "snake_case")]
+pub enum Role {
+    /// An engine for prefill.
+    Prefill,
+    /// An engine for decode.
+    Decode,
+    /// A plain service.
+    Plain,
+}
+
+/// A fault of an endpoint.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Display, EnumIter)]
+#[strum(serialize_all = "snake_case")]
+pub enum Fault {
+    /// No fault.
+    #[default]
+    None,
+    /// Responds with status 503 and reports that the request was not executed.
+    Refuse,
+    /// Same as `Refuse`, after a delay.
+    RefuseLate,
+    /// Responds with status 503 and does not report whether the request was executed.
+    Busy,
+    /// Responds with status 500 and a valid signature.
+    Error,
+    /// Executes the request and resets the connection.
+    ResetAfterRun,
+    /// Executes the request and never responds.
+    Hang,
+    /// Ends the connection in the middle of the response.
+    Cut,
+    /// Closes the connection in the middle of an event, without the last chunk.
+    CutInEvent,
+    /// Stops sending in the middle of a stream and keeps the connection open.
+    Silent,
+    /// Sends an additional response after the first one.
+    Extra,
+    /// Sends a response without a length and closes the connection.
+    Unframed,
+    /// Responds without a signature.
+    Unsigned,
+    /// Reports that another endpoint listens at the address.
+    Replaced,
+}
+
+/// A request that the endpoint received.
+#[derive(Clone, Debug)]
+pub struct ReceivedRequest {
+    /// Request line and headers.
+    pub head: Request,
+    /// Body, without transfer encoding.
+    pub body: Bytes,
+    /// Whether the endpoint executed it.
+    pub was_executed: bool,
+}
+
+#[derive(Debug, Default)]
+struct State {
+    fault: Fault,
+    /// Number of requests that still fail; `None` is unlimited.
+    remaining_faults: Option<u32>,
+    received: Vec<ReceivedRequest>,
+    /// Memory that is not reserved, in tokens.
+    free_tokens: u64,
+    /// Tokens by reservation id.
+    reservations: BTreeMap<String, u64>,
+    released: u64,
+    active_streams: u32,
+    /// Streams that ended because the caller disconnected.
+    abandoned: u32,
+    /// Role assigned by the last order; replaces the initial role.
+    assigned_role: Option<Role>,
+    /// Accepted orders: holder and fencing token.
+    orders: Vec<(String, u64)>,
+    last_id: u64,
+}
+
+impl State {
+    fn take_fault(&mut self) -> Fault {
+        match &mut self.remaining_faults {
+            Some(0) => return Fault::None,
+            Some(left) => *left -= 1,
+            None => {}
+        }
+        self.fault
+    }
+
+    fn next_id(&mut self, prefix: &str) -> String {
+        self.last_id += 1;
+        format!("{prefix}{}", self.last_id)
+    }
+}
+
+/// Handles of prefill results that no decode has fetched yet, for all engines of a site.
+pub type KvHandles = Arc<Mutex<BTreeSet<String>>>;
+
+/// A running endpoint.
+pub struct Endpoint {
+    id: Arc<str>,
+    role: Role,
+    server: Server,
+    state: Arc<Mutex<State>>,
+}
+
+impl Endpoint {
+    /// Starts an endpoint with `free_tokens` tokens of memory. Port 0 selects an unused port.
+    pub async fn start(
+        id: &str,
+        role: Role,
+        address: SocketAddr,
+        free_tokens: u64,
+        kv_handles: KvHandles,
+    ) -> io::Result<Self> {
+        let id: Arc<str> = id.into();
+        let state = Arc::new(Mutex::new(State { free_tokens, ..State::default() }));
+        let (shared, own_id) = (state.clone(), id.clone());
+        let server = Server::start(address, move |head, body, connection| {
+            let exchange = Exchange {
+                id: own_id.clone(),
+                role,
+                state: shared.clone(),
+                kv_handles: kv_handles.clone(),
+                head,
+                body,
+            };
+            async move { exchange.handle(connection).await }
+        });
+        Ok(Self { id, role, server: server.await?, state })
+    }
+
+    /// Returns the endpoint id.
+    pub fn id(&self) -> &Arc<str> {
+        &self.id
+    }
+
+    /// Returns the current role.
+    pub fn role(&self) -> Role {
+        lock(&self.state).assigned_role.unwrap_or(self.role)
+    }
+
+    /// Returns the accepted orders, as holder and fencing token.
+    pub fn orders(&self) -> Vec<(String, u64)> {
+        lock(&self.state).orders.clone()
+    }
+
+    /// Returns the local address.
+    pub fn address(&self) -> SocketAddr {
+        self.server.address()
+    }
+
+    /// Sets the fault of all further requests.
+    pub fn set_fault(&self, fault: Fault) {
+        let mut state = lock(&self.state);
+        (state.fault, state.remaining_faults) = (fault, None);
+    }
+
+    /// Sets the fault of the next `count` requests.
+    pub fn fail_next(&self, fault: Fault, count: u32) {
+        let mut state = lock(&self.state);
+        (state.fault, state.remaining_faults) = (fault, Some(count));
+    }
+
+    /// Stops at once and closes all connections.
+    pub async fn kill(&self) {
+        self.server.kill().await;
+    }
+
+    /// Returns the received requests, without control calls.
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        lock(&self.state).received.clone()
+    }
+
+    /// Returns the requests that were executed.
+    pub fn executed(&self) -> Vec<ReceivedRequest> {
+        self.received().into_iter().filter(|request| request.was_executed).collect()
+    }
+
+    /// Returns the number of streams in progress.
+    pub fn active_streams(&self) -> u32 {
+        lock(&self.state).active_streams
+    }
+
+    /// Returns the number of streams that ended because the caller disconnected.
+    pub fn abandoned(&self) -> u32 {
+        lock(&self.state).abandoned
+    }
+
+    /// Returns the number of reservations that were neither used nor released.
+    pub fn reservations(&self) -> usize {
+        lock(&self.state).reservations.len()
+    }
+
+    /// Returns the number of release calls, for reservations and prefill results.
+    pub fn released(&self) -> u64 {
+        lock(&self.state).released
+    }
+}
+
+/// A request and the state needed to respond to it.
+struct Exchange {
+    id: Arc<str>,
+    role: Role,
+    state: Arc<Mutex<State>>,
+    kv_handles: KvHandles,
+    head: Request,
+    body: Bytes,
+}
+
+impl Exchange {
+    async fn handle(self, connection: Connection) -> (Connection, Action) {
+        let expected = self.head.fields.get("Tarragonhill-Expected-Instance");
+        let is_replaced = lock(&self.state).fault == Fault::Replaced;
+        if is_replaced || expected.is_some_and(|expected| expected != &*self.id) {
+            let instance = if is_replaced { "another" } else { &*self.id };
+            let head = self.head(421, false);
+            let mut head = head;
+            head.fields.push("Tarragonhill-Instance-Id", instance);
+            return send(connection, head, b"", Action::Keep).await;
+        }
+        match (self.head.method.as_str(), self.head.path()) {
+            ("POST", "/v1/hold-take") => self.reserve(connection).await,
+            ("DELETE", path) if path.starts_with("/v1/hold-drop/") || path.starts_with("/v1/kv-handle/") => {
+                self.release(connection).await
+            }
+            ("GET", "/v1/report") => {
+                let report = {
+                    let state = lock(&self.state);
+                    let stage = state.assigned_role.unwrap_or(self.role).to_string();
+                    json!({"stage": stage, "busy": false, "seq": state.orders.len()})
+                };
+                self.json(connection, 200, &report).await
+            }
+            ("POST", "/v1/order") => self.change_role(connection).await,
+            ("GET", "/health") => self.json(connection, 200, &json!({})).await,
+            _ => self.execute(connection).await,
+        }
+    }
+
+    async fn reserve(self, connection: Connection) -> (Connection, Action) {
+        let reservation: Value = serde_json::from_slice(&self.body).unwrap_or_default();
+        let tokens = reservation["tokens"].as_u64().unwrap_or(u64::MAX);
+        let granted = {
+            let mut state = lock(&self.state);
+            (state.free_tokens >= tokens).then(|| {
+                state.free_tokens -= tokens;
+                let id = state.next_id("h");
+                state.reservations.insert(id.clone(), tokens);
+                id
+            })
+        };
+        match granted {
+            Some(id) => self.json(connection, 200, &json!({"hold": id})).await,
+            None => self.refuse(connection).await,
+        }
+    }
+
+    async fn change_role(self, connection: Connection) -> (Connection, Action) {
+        let order: Value = serde_json::from_slice(&self.body).unwrap_or_default();
+        let stage = match order["stage"].as_str() {
+            Some("prefill") => Some(Role::Prefill),
+            Some("decode") => Some(Role::Decode),
+            _ => None,
+        };
+        let (Some(stage), Some(holder), Some(token)) =
+            (stage, order["holder"].as_str(), order["fencing_token"].as_u64())
+        else {
+            return send(connection, self.head(400, false), b"", Action::Keep).await;
+        };
+        let is_current = {
+            let mut state = lock(&self.state);
+            let is_current = order["expected_revision"].as_u64() == Some(state.orders.len() as u64);
+            if is_current {
+                state.orders.push((holder.into(), token));
+                state.assigned_role = Some(stage);
+            }
+            is_current
+        };
+        self.json(connection, if is_current { 202 } else { 409 }, &json!({})).await
+    }
+
+    async fn release(self, connection: Connection) -> (Connection, Action) {
+        let id = self.head.path().rsplit('/').next().unwrap_or_default().to_owned();
+        {
+            let mut state = lock(&self.state);
+            state.released += 1;
+            if let Some(tokens) = state.reservations.remove(&id) {
+                state.free_tokens += tokens;
+            }
+        }
+        lock(&self.kv_handles).remove(&id);
+        self.json(connection, 200, &json!({})).await
+    }
+
+    async fn execute(self, connection: Connection) -> (Connection, Action) {
+        let fault = lock(&self.state).take_fault();
+        match fault {
+            Fault::Refuse | Fault::RefuseLate => {
+                if fault == Fault::RefuseLate {
+                    task::sleep(LATE_REFUSAL_DELAY).await;
+                }
+                self.record(false);
+                return self.refuse(connection).await;
+            }
+            Fault::Busy => {
+                self.record(false);
+                return send(connection, self.head(503, false), b"", Action::Keep).await;
+            }
+            _ => {}
+        }
+        let stage = self.head.fields.get("Tarragonhill-Serving-Stage");
+        let role = lock(&self.state).assigned_role.unwrap_or(self.role);
+        match (role, stage) {
+            (Role::Prefill, Some("prefill")) => self.prefill(connection, fault).await,
+            (Role::Decode, None) => self.decode(connection, fault).await,
+            (Role::Plain, None) => self.plain(connection, fault).await,
+            _ => send(connection, self.head(421, false), b"", Action::Keep).await,
+        }
+    }
+
+    async fn prefill(self, connection: Connection, fault: Fault) -> (Connection, Action) {
+        self.record(true);
+        if fault == Fault::ResetAfterRun {
+            return (connection, Action::Reset);
+        }
+        if fault == Fault::Hang {
+            return wait_for_close(connection).await;
+        }
+        let handle = format!("{}-{}", self.id, lock(&self.state).next_id("r"));
+        lock(&self.kv_handles).insert(handle.clone());
+        task::sleep(EVENT_INTERVAL).await;
+        self.json(connection, 200, &json!({"kv_handle": handle, "tokens": 1, "version": 1})).await
+    }
+
+    async fn decode(self, connection: Connection, fault: Fault) -> (Connection, Action) {
+        if let Some(source) = self.head.fields.get("Tarragonhill-Kv-Source") {
+            let handle = source.rsplit('/').next().unwrap_or_default();
+            if !lock(&self.kv_handles).remove(handle) {
+                self.record(false);
+                return self.refuse(connection).await;
+            }
+        }
+        let hold = self.head.fields.get("Tarragonhill-Kv-Hold").map(str::to_owned);
+        let reserved = hold.as_ref().and_then(|hold| lock(&self.state).reservations.remove(hold));
+        self.record(true);
+        lock(&self.state).active_streams += 1;
+        let result = self.stream(connection, fault).await;
+        let mut state = lock(&self.state);
+        state.active_streams -= 1;
+        state.free_tokens += reserved.unwrap_or(0);
+        result
+    }
+
+    async fn stream(&self, mut connection: Connection, fault: Fault) -> (Connection, Action) {
+        match fault {
+            Fault::ResetAfterRun => return (connection, Action::Reset),
+            Fault::Hang => return wait_for_close(connection).await,
+            Fault::Error => return send(connection, self.head(500, true), b"failed", Action::Keep).await,
+            _ => {}
+        }
+        let mut head = self.head(200, fault != Fault::Unsigned);
+        head.fields.push("Content-Type", "text/event-stream");
+        head.fields.push("Transfer-Encoding", "chunked");
+        if connection.write(&head.encode()).await.is_err() {
+            return (connection, Action::Close);
+        }
+        let last_id = self.head.fields.get("Last-Event-Id").and_then(|id| id.parse().ok()).unwrap_or(0);
+        for id in last_id + 1..=EVENT_COUNT {
+            let event = format!("id: {id}\ndata: token-{id}\n\n");
+            let is_middle = id == EVENT_COUNT / 2;
+            if is_middle && fault == Fault::Cut {
+                return (connection, Action::Reset);
+            }
+            if is_middle && fault == Fault::Silent {
+                return wait_for_close(connection).await;
+            }
+            if is_middle && fault == Fault::CutInEvent {
+                let _ = connection.write(&chunk(&event.as_bytes()[..event.len() / 2])).await;
+                return (connection, Action::Close);
+            }
+            let mut is_disconnected = self.wait_for_disconnect(&mut connection).await;
+            is_disconnected |= connection.write(&chunk(event.as_bytes())).await.is_err();
+            if is_disconnected {
+                lock(&self.state).abandoned += 1;
+                return (connection, Action::Close);
+            }
+        }
+        let _ = connection.write(LAST_CHUNK).await;
+        (connection, Action::Keep)
+    }
+
+    /// Waits for one event interval; returns whether the caller disconnects meanwhile.
+    async fn wait_for_disconnect(&self, connection: &mut Connection) -> bool {
+        let interval = async {
+            task::sleep(EVENT_INTERVAL).await;
+            false
+        };
+        let closed = async { !matches!(connection.fill().await, Ok(read) if read > 0) };
+        future::or(interval, closed).await
+    }
+
+    async fn plain(self, connection: Connection, fault: Fault) -> (Connection, Action) {
+        self.record(true);
+        let body =
+            format!("{} {} {}", self.head.method, self.head.target, String::from_utf8_lossy(&self.body));
+        let success_head = self.head(200, fault != Fault::Unsigned);
+        match fault {
+            Fault::ResetAfterRun => (connection, Action::Reset),
+            Fault::Hang => wait_for_close(connection).await,
+            Fault::Error => send(connection, self.head(500, true), b"failed", Action::Keep).await,
+            Fault::Cut | Fault::CutInEvent => {
+                let mut connection = connection;
+                let mut head = success_head;
+                head.fields.push("Content-Length", body.len().to_string());
+                let _ = connection.write(&head.encode()).await;
+                let _ = connection.write(&body.as_bytes()[..body.len() / 2]).await;
+                (connection, Action::Close)
+            }
+            Fault::Unframed => {
+                let mut connection = connection;
+                let _ = connection.write(&success_head.encode()).await;
+                let _ = connection.write(body.as_bytes()).await;
+                (connection, Action::Close)
+            }
+            Fault::Extra => {
+                let extra_head = self.head(200, true);
+                let (mut connection, action) =
+                    send(connection, success_head, body.as_bytes(), Action::Keep).await;
+                // Sent separately, where the caller expects the response to its next request.
+                task::sleep(EVENT_INTERVAL).await;
+                let mut extra_head = extra_head;
+                extra_head.fields.push("Content-Length", "5");
+                let _ = connection.write(&extra_head.encode()).await;
+                let _ = connection.write(b"stray").await;
+                (connection, action)
+            }
+            _ => send(connection, success_head, body.as_bytes(), Action::Keep).await,
+        }
+    }
+
+    fn record(&self, was_executed: bool) {
+        let request = ReceivedRequest { head: self.head.clone(), body: self.body.clone(), was_executed };
+        lock(&self.state).received.push(request);
+    }
+
+    fn head(&self, status: u16, is_signed: bool) -> Response {
+        let mut head = Response::new(status);
+        if let Some(id) = self.head.fields.get("Tarragonhill-Request-Id") {
+            head.fields.push("Tarragonhill-Request-Id", id);
+        }
+        if is_signed {
+            head.fields.push("Tarragonhill-Server-Signature", format!("{}.1", self.id));
+        }
+        head
+    }
+
+    async fn refuse(&self, connection: Connection) -> (Connection, Action) {
+        let mut head = self.head(503, false);
+        head.fields.push("Tarragonhill-Not-Executed", "1");
+        send(connection, head, b"", Action::Keep).await
+    }
+
+    async fn json(&self, connection: Connection, status: u16, value: &Value) -> (Connection, Action) {
+        let mut head = self.head(status, false);
+        head.fields.push("Content-Type", "application/json");
+        send(connection, head, value.to_string().as_bytes(), Action::Keep).await
+    }
+}
+
+async fn wait_for_close(mut connection: Connection) -> (Connection, Action) {
+    while matches!(connection.fill().await, Ok(read) if read > 0) {}
+    (connection, Action::Close)
+}
+
+async fn send(
+    mut connection: Connection,
+    mut head: Response,
+    body: &[u8],
+    action: Action,
+) -> (Connection, Action) {
+    head.fields.push("Content-Length", body.len().to_string());
+    let mut bytes = head.encode();
+    bytes.extend_from_slice(body);
+    let written = connection.write(&bytes).await;
+    (connection, if written.is_ok() { action } else { Action::Close })
+}
--- a/crates/bench/src/score.rs
+++ b/crates/bench/src/score.rs
@@ -8,7 +8,7 @@
 use tarragonhill_core::{Time, quota::Bucket};
 
 use crate::{
-    caller::{Outcome, Timed},
+    caller::{Outcome, TimedOutcome},
     fleet::{Fleet, Tenant},
     workload::Arrival,
 };
@@ -25,7 +25,7 @@
     /// The request.
     pub arrival: Arrival,
     /// Outcome with its latencies.
-    pub timed: Timed,
+    pub timed: TimedOutcome,
 }
 
 /// Scores of one run.
@@ -186,7 +186,7 @@
 }
 
 fn is_correct(record: &Record) -> bool {
-    record.timed.is_right(&record.arrival.completion)
+    record.timed.is_correct(&record.arrival.completion)
 }
 
 fn is_within_targets(record: &Record) -> bool {
@@ -206,7 +206,7 @@
     match &record.timed.outcome {
         Outcome::Answered { .. } => !is_correct(record),
         Outcome::Broken { text, .. } => {
-            !crate::standin::answer(&completion.prompt, completion.max_tokens).starts_with(text.as_str())
+            !crate::sim::output_text(&completion.prompt, completion.max_tokens).starts_with(text.as_str())
         }
         Outcome::Refused(_) | Outcome::Failed(_) | Outcome::Unsent(_) => false,
     }
--- a/crates/bench/tests/path.rs
+++ b/crates/bench/tests/path.rs
@@ -7,9 +7,9 @@
 use quickcheck::{Arbitrary as _, Gen};
 use serde_json::json;
 use tarragonhill_bench::{
-    caller::{Caller, Completion, Outcome, Refused},
+    caller::{Caller, Completion, Outcome, Refusal},
     fleet::{Fleet, MODEL, SERVICE, Shape, Tenant, key_of},
-    standin::{DECODE_POISON, POISON, prefill},
+    sim::{DECODE_POISON, POISON, prefill},
 };
 use tarragonhill_core::{
     plan::Intent,
@@ -22,7 +22,7 @@
 
 fn shape() -> Shape {
     Shape {
-        prefill_power: prefill::Power { tokens_per_s: 1_000_000, ..prefill::Power::default() },
+        prefill_profile: prefill::Profile { tokens_per_s: 1_000_000, ..prefill::Profile::default() },
         tenants: vec![
             Tenant::new("faculty", 500_000, 1_000_000),
             Tenant::new("grants", 1_000, 1_000),
@@ -55,7 +55,7 @@
 
 fn refusal(outcome: &Outcome) -> (&str, bool) {
     match outcome {
-        Outcome::Refused(Refused { code, not_run, .. }) => (code, *not_run),
+        Outcome::Refused(Refusal { code, not_run, .. }) => (code, *not_run),
         other => panic!("not refused: {other:?}"),
     }
 }
@@ -66,7 +66,7 @@
         for (entry, stream) in [(0, true), (1, false), (2, true)] {
             let request = completion(&format!("question {entry}"), 20, stream);
             let timed = caller(&fleet, entry, "faculty").complete(&request).await;
-            assert!(timed.is_right(&request), "{:?}", timed.outcome);
+            assert!(timed.is_correct(&request), "{:?}", timed.outcome);
         }
         fleet.stop().await;
     });
@@ -77,7 +77,7 @@
 fn decode_memory_is_freed_when_the_caller_disconnects() {
     with_fleet(|fleet| async move {
         let request = completion("never read to its end", 5_000, true);
-        caller(&fleet, 0, "faculty").leave_after(&request, 2).await.expect("the stream begins");
+        caller(&fleet, 0, "faculty").disconnect_after(&request, 2).await.expect("the stream begins");
         let free = || async { fleet.decode.iter().all(|engine| engine.memory().0 == 0) };
         assert!(wait_until(free).await);
         fleet.stop().await;
@@ -184,7 +184,7 @@
     with_fleet(|fleet| async move {
         let caller = caller(&fleet, 0, "grants");
         let request = completion(&"x".repeat(3_200), 100, true);
-        caller.leave_after(&request, 1).await.expect("the stream begins");
+        caller.disconnect_after(&request, 1).await.expect("the stream begins");
         let free = || async { fleet.decode.iter().all(|engine| engine.memory().0 == 0) };
         assert!(wait_until(free).await);
         let again = caller.complete(&completion(&"y".repeat(3_600), 90, false)).await;
@@ -198,7 +198,7 @@
 #[test]
 fn call_with_a_lost_response_is_not_repeated() {
     with_fleet(|fleet| async move {
-        fleet.plain.iter().for_each(|service| service.switches.set_lose(1_000));
+        fleet.plain.iter().for_each(|service| service.faults.set_loss_rate(1_000));
         let path = format!("/v1/services/{SERVICE}/submissions");
         let submit = |entry| {
             let caller = caller(&fleet, entry, "faculty");
@@ -207,7 +207,7 @@
         };
         let (status, body) = submit(0).await;
         assert_eq!((status, body["error"]["code"].as_str()), (502, Some("outcome_unknown")));
-        fleet.plain.iter().for_each(|service| service.switches.set_lose(0));
+        fleet.plain.iter().for_each(|service| service.faults.set_loss_rate(0));
         let (status, body) = submit(1).await;
         assert_eq!((status, body["error"]["code"].as_str()), (502, Some("outcome_unknown")));
         let executed: u32 = fleet.plain.iter().flat_map(|s| s.executions().into_values()).sum();
@@ -248,7 +248,7 @@
 #[test]
 fn call_is_refused_while_its_outcome_cannot_be_recorded() {
     with_fleet(|fleet| async move {
-        fleet.table.switches.set_down(true);
+        fleet.table.faults.set_down(true);
         let path = format!("/v1/services/{SERVICE}/submissions");
         let caller = caller(&fleet, 0, "faculty");
         let (status, body) = caller.call("POST", &path, &json!({}), Some("s-2")).await.expect("an answer");
@@ -257,7 +257,7 @@
             (503, &json!("record_unavailable"), &json!(true))
         );
         assert!(fleet.plain.iter().all(|service| service.executions().is_empty()));
-        fleet.table.switches.set_down(false);
+        fleet.table.faults.set_down(false);
         let (status, _) = caller.call("POST", &path, &json!({}), Some("s-2")).await.expect("an answer");
         assert_eq!(status, 200);
         fleet.stop().await;
@@ -289,7 +289,7 @@
         let crashes: usize = fleet.prefill.iter().map(|engine| engine.starts.all().len()).sum();
         assert_eq!(crashes, 2);
         let harmless = completion("innocent", 4, false);
-        assert!(caller.complete(&harmless).await.is_right(&harmless));
+        assert!(caller.complete(&harmless).await.is_correct(&harmless));
         fleet.stop().await;
     });
 }
@@ -305,7 +305,7 @@
                 let caller = caller(&fleet, number % 3, "faculty");
                 task::spawn(async move {
                     let timed = caller.complete(&request).await;
-                    assert!(timed.is_right(&request), "{:?}", timed.outcome);
+                    assert!(timed.is_correct(&request), "{:?}", timed.outcome);
                 })
             })
             .collect();
@@ -339,9 +339,9 @@
         let running = || async { fleet.decode.iter().any(|engine| engine.memory().1 > 0) };
         assert!(wait_until(running).await);
         let engine = fleet.decode.iter().find(|engine| engine.memory().1 > 0).expect("it runs");
-        engine.switches.set_down(true);
+        engine.faults.set_down(true);
         let timed = answer.await;
-        assert!(timed.is_right(&request), "{:?}", timed.outcome);
+        assert!(timed.is_correct(&request), "{:?}", timed.outcome);
         fleet.stop().await;
     });
 }
@@ -358,7 +358,7 @@
         assert!(wait_until(running).await);
         let entry = fleet.entries[1].take().expect("not killed");
         entry.shutdown().await;
-        assert!(answer.await.is_right(&request));
+        assert!(answer.await.is_correct(&request));
         fleet.stop().await;
     });
 }
@@ -393,9 +393,9 @@
         let client = Client::new(fleet.entry(0).admin(), None);
         let intent = Intent::WithdrawKey { id: "grants-1".into(), running: WithdrawalPolicy::Cut };
         let planned = client.plan(&intent).await.expect("a plan");
-        fleet.table.switches.set_lose(1_000);
+        fleet.table.faults.set_loss_rate(1_000);
         let _ = client.confirm(&planned).await;
-        fleet.table.switches.set_lose(0);
+        fleet.table.faults.set_loss_rate(0);
         assert_eq!(client.resolve(&planned.plan.id).await.expect("known")["outcome"], "confirmed");
         for entry in 0..3 {
             let caller = caller(&fleet, entry, "grants");
@@ -412,9 +412,9 @@
 /// started work.
 #[test]
 fn request_cancelled_during_prefill_is_not_reported_as_not_run() {
-    let slow = prefill::Power { tokens_per_s: 50, ..prefill::Power::default() };
+    let slow = prefill::Profile { tokens_per_s: 50, ..prefill::Profile::default() };
     task::block_on(async {
-        let fleet = Fleet::start(Shape { prefill_power: slow, ..shape() }).await.expect("the fleet starts");
+        let fleet = Fleet::start(Shape { prefill_profile: slow, ..shape() }).await.expect("the fleet starts");
         let request = completion(&"x".repeat(2_000), 4, false);
         let caller = caller(&fleet, 0, "grants");
         let answer = task::spawn(async move { caller.complete(&request).await });
@@ -446,7 +446,7 @@
         for number in 0..9 {
             let request = completion(&format!("after the drain {number}"), 2, false);
             let timed = caller(&fleet, number % 3, "faculty").complete(&request).await;
-            assert!(timed.is_right(&request), "{:?}", timed.outcome);
+            assert!(timed.is_correct(&request), "{:?}", timed.outcome);
         }
         assert_eq!(fleet.prefill[0].starts.all().len(), before);
         assert!(fleet.agents.contains_key(&format!("{}-0", Role::Prefill)));
