--- a/crates/bench/src/check/history.rs
+++ b/crates/bench/src/check/history.rs
@@ -39,7 +39,7 @@
     pub ended: Duration,
     /// Answers; more than one violates an invariant.
     pub answers: Vec<Outcome>,
-    /// Request id assigned by the router; None unless the answer contains it.
+    /// Request id assigned by the router; `None` unless the answer contains it.
     pub request: Option<String>,
 }
 
@@ -48,7 +48,7 @@
 pub struct Shutdown {
     /// Index of the entry.
     pub entry: usize,
-    /// Start time since the start of the run.
+    /// Time of the shutdown request since the start of the run.
     pub began: Duration,
 }
 
--- a/crates/bench/src/check/invariant.rs
+++ b/crates/bench/src/check/invariant.rs
@@ -43,7 +43,7 @@
 }
 
 impl Invariant {
-    /// Returns a description of the first violation in `history`, or None if there is none.
+    /// Returns a description of the first violation in `history`, or `None`.
     pub fn check(self, history: &History) -> Option<String> {
         match self {
             Self::MemoryFreed => memory_freed(history),
--- a/crates/bench/src/cmd/demo.rs
+++ b/crates/bench/src/cmd/demo.rs
@@ -117,7 +117,7 @@
 async fn read_long_stream(fleet: &Fleet, tally: &mut Tally) {
     println!("one streamed answer of several hundred tokens:");
     let caller = Caller::new(fleet.entry(0).address(), key_of("faculty"));
-    // The simulated engines derive the answer's length from the prompt; this prompt gives over 300 tokens.
+    // Simulated engines derive the answer's length from the prompt; this prompt gives over 300 tokens.
     let request = completion(format!("a long evidence summary: {}", "source ".repeat(300)), 400, true);
     let timed = caller.complete(&request).await;
     print_outcome("faculty", &timed);
--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -403,7 +403,7 @@
 /// Measures streams through one entry. The whole process is counted: callers, simulated servers, the
 /// entry and both ends of the link.
 async fn measure_streams() -> Result<(), FleetError> {
-    let mut series = Series::new("entry, agent, caller and stand-ins", "streams", "streamed answers");
+    let mut series = Series::new("entry, agent, caller and simulated servers", "streams", "streamed answers");
     for n in STREAMS {
         let mut shape = idle_shape(1, 0);
         (shape.prefill, shape.decode) = (1, 1);
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -151,7 +151,7 @@
     pub plain: Vec<Service>,
     /// Agents by endpoint name.
     pub agents: BTreeMap<String, Agent>,
-    /// Entries by number; None if the entry was killed.
+    /// Entries by number; `None` if the entry was killed.
     pub entries: Vec<Option<Entry>>,
     shape: Shape,
 }
@@ -331,7 +331,7 @@
     (row.key(), row.value().unwrap_or_default())
 }
 
-/// Fetches the state dump of the daemon with this admin address, or None if the request fails.
+/// Fetches the state dump of the daemon with this admin address, or `None` if the request fails.
 pub async fn fetch_dump(admin: SocketAddr) -> Option<Value> {
     let pool = Pool::default();
     let answer = pool.send(admin, Request::get("/dump"), Duration::from_secs(2)).await.ok()?;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,5 @@
-//! `tarragonhill-bench`: simulated servers, load generation and experiments, for tests and benchmarks only.
+//! `tarragonhill-bench`: simulated servers, load generation and experiments, for tests and benchmarks
+//! only.
 
 use std::process::ExitCode;
 
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -108,8 +108,8 @@
     format!("customer-{number}")
 }
 
-/// Returns the mean number of tokens charged per request. Prompt lengths vary by a factor of `e^x` with `x`
-/// uniform in -1..1; the mean of the factor is `sinh 1`.
+/// Returns the mean number of tokens charged per request. Prompt lengths vary by a factor of `e^x` with
+/// `x` uniform in -1..1; the mean of the factor is `sinh 1`.
 fn mean_cost(mix: Mix) -> f64 {
     mix.prompt.0 * 1.0_f64.sinh() + f64::from(mix.max_tokens.0 + mix.max_tokens.1) / 2.0
 }
