--- a/crates/core/src/gateway/staleness.rs
+++ b/crates/core/src/gateway/staleness.rs
@@ -4,21 +4,21 @@
 
 use crate::clock::Time;
 
-/// Time for which this replica may lack a version that a peer has. The store delivers a change to
-/// all replicas at about the same time, but large rows take longer on slow links.
+/// Time after which a version that a peer has, but this replica lacks, is overdue. Large rows take
+/// longer to arrive on slow links.
 const OVERDUE_AFTER: Duration = Duration::from_millis(1_000);
 
 /// Versions of a copy of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Versions {
-    /// Order of the configuration; zero if there is none.
+    /// Version of the configuration's row in the store; zero if there is none.
     pub configuration: u64,
     /// Version of the newest endpoint row; zero if there is none.
     pub endpoints: u64,
 }
 
 impl Versions {
-    /// Whether any part of this copy is newer than in `other`.
+    /// Returns whether any part of this copy is newer than in `other`.
     pub fn is_ahead_of(self, other: Self) -> bool {
         self.configuration > other.configuration || self.endpoints > other.endpoints
     }
@@ -27,7 +27,7 @@
 /// Versions of one part of the copy.
 #[derive(Clone, Copy, Debug, Default)]
 struct Part {
-    /// Newest version that this replica has completely.
+    /// Newest version that this replica has read completely.
     own: u64,
     /// Newest version that a peer has.
     newest_peer: u64,
@@ -70,8 +70,8 @@
     }
 
     /// Records that this replica has read a configuration.
-    pub fn record_configuration(&mut self, now: Time, order: u64) {
-        self.configuration.record_own(now, order);
+    pub fn record_configuration(&mut self, now: Time, version: u64) {
+        self.configuration.record_own(now, version);
     }
 
     /// Records that this replica has read all endpoint rows up to a version.
@@ -84,7 +84,7 @@
         Versions { configuration: self.configuration.own, endpoints: self.endpoints.own }
     }
 
-    /// Whether this replica has been behind its peers for too long.
+    /// Returns whether this replica has been behind its peers for too long.
     pub fn is_overdue(&self, now: Time) -> bool {
         self.configuration.is_overdue(now) || self.endpoints.is_overdue(now)
     }
--- a/crates/core/tests/gateway/placement.rs
+++ b/crates/core/tests/gateway/placement.rs
@@ -1,4 +1,4 @@
-//! Selection of endpoints for requests.
+//! Tests of the selection of endpoints for requests.
 
 use std::{
     collections::BTreeMap,
@@ -17,10 +17,10 @@
     pools::Pools,
 };
 
-use crate::{SMALL, at, endpoint, engine, learned, row};
+use crate::{SMALL, at, endpoint, engine, row, trained};
 
-/// Target for the time to the first event.
-const TARGET: Duration = Duration::from_millis(900);
+/// Target for the time to the first token.
+const TTFT: Duration = Duration::from_millis(900);
 
 fn directory(endpoints: Vec<Endpoint>) -> Directory {
     let mut directory = Directory::default();
@@ -31,7 +31,7 @@
 
 fn view<'a>(directory: &'a Directory, loads: &'a Loads, now: u64) -> View<'a> {
     static POOLS: LazyLock<Pools> = LazyLock::new(Pools::default);
-    static FORECASTS: LazyLock<Forecasts> = LazyLock::new(|| learned(SMALL));
+    static FORECASTS: LazyLock<Forecasts> = LazyLock::new(|| trained(SMALL));
     let partition = Partition { index: 0, count: 1 };
     View {
         now: at(now),
@@ -45,17 +45,20 @@
     }
 }
 
-fn id_of(found: Prefill) -> Option<Arc<str>> {
+/// Returns the ID of the selected endpoint, if any.
+fn id(found: Prefill) -> Option<Arc<str>> {
     match found {
         Prefill::Endpoint(endpoint) => Some(endpoint.id.clone()),
         Prefill::Busy | Prefill::Unavailable => None,
     }
 }
 
+/// A run that uses `memory` tokens of KV cache.
 fn run_of(memory: u64, headroom: u64) -> Run<'static> {
-    Run { prompt: memory, growth: Growth::flat(memory), headroom, ttft_target: TARGET, ..Run::default() }
+    Run { prompt: memory, growth: Growth::flat(memory), headroom, ttft_target: TTFT, ..Run::default() }
 }
 
+/// The load of one run that uses `memory` tokens of KV cache.
 fn share_of(memory: u64) -> Share {
     Share { running: 1, memory, prefill_tokens: 0, growth: Growth::flat(memory) }
 }
@@ -67,12 +70,12 @@
     loads.acquire(at(0), &"d-1".into(), share_of(10_000));
     let place = |loads: &Loads, memory| {
         view(&directory, loads, 100)
-            .decode("drafting", &engine(), &run_of(memory, 0))
+            .pick_decode("drafting", &engine(), &run_of(memory, 0))
             .map(|found| found.id.clone())
     };
     assert_eq!(place(&loads, 5_000), Some("d-2".into()));
     let shares = [("d-2".into(), share_of(30_000))].into();
-    loads.merge_digest(at(50), &Digest { name: "other".into(), shares, ..Digest::default() });
+    loads.apply_digest(at(50), &Digest { name: "other".into(), shares, ..Digest::default() });
     assert_eq!(place(&loads, 5_000), Some("d-1".into()));
     assert_eq!(place(&loads, 50_001), None);
 }
@@ -84,7 +87,7 @@
     loads.acquire(at(0), &"d-1".into(), share_of(45_000));
     let place = |is_late| {
         let headroom = headroom(&engine(), is_late);
-        view(&directory, &loads, 100).decode("drafting", &engine(), &run_of(5_000, headroom)).is_some()
+        view(&directory, &loads, 100).pick_decode("drafting", &engine(), &run_of(5_000, headroom)).is_some()
     };
     assert!(place(false));
     assert!(!place(true));
@@ -96,18 +99,18 @@
     let mut loads = Loads::default();
     let lease = loads.acquire(at(0), &"d-1".into(), share_of(5_000));
     loads.release(at(10), &lease, Outcome::Full);
-    let place = |now| view(&directory, &loads, now).decode("drafting", &engine(), &run_of(5_000, 0));
+    let place = |now| view(&directory, &loads, now).pick_decode("drafting", &engine(), &run_of(5_000, 0));
     assert!(place(20).is_none());
     assert!(place(200).is_some());
 }
 
 #[test]
-fn prefill_stays_in_the_zone_unless_it_would_wait() {
+fn prefill_stays_in_the_zone_unless_its_endpoint_has_a_backlog() {
     let far = Endpoint { zone: "zone-b".into(), ..endpoint("p-2", Stage::Prefill) };
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), far]);
     let mut loads = Loads::default();
     let place =
-        |loads: &Loads| id_of(view(&directory, loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &[]));
+        |loads: &Loads| id(view(&directory, loads, 10).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[]));
     assert_eq!(place(&loads), Some("p-1".into()));
     let prefill = Share { prefill_tokens: 8_000, ..Share::default() };
     loads.acquire(at(0), &"p-1".into(), prefill);
@@ -118,12 +121,12 @@
 fn complete(loads: &mut Loads, id: &str, count: u32, failed: u32) {
     for index in 0..count {
         let lease = loads.acquire(at(0), &id.into(), Share { running: 1, ..Share::default() });
-        let success = Outcome::Answered(Duration::from_millis(20));
+        let success = Outcome::Responded(Duration::from_millis(20));
         loads.release(at(20), &lease, if index < count - failed { success } else { Outcome::Failed });
     }
 }
 
-/// A failing endpoint responds fastest, so selection by response time alone would prefer it.
+/// A failing endpoint often responds fastest, so selection by response time alone would prefer it.
 #[test]
 fn an_endpoint_that_fails_more_than_others_is_skipped() {
     let directory = directory(vec![endpoint("w-1", Stage::Whole), endpoint("w-2", Stage::Whole)]);
@@ -131,11 +134,11 @@
     complete(&mut loads, "w-1", 8, 3);
     complete(&mut loads, "w-2", 8, 0);
     loads.acquire(at(20), &"w-2".into(), Share { running: 9, ..Share::default() });
-    let found = view(&directory, &loads, 30).whole("drafting", &[]);
+    let found = view(&directory, &loads, 30).pick_whole("drafting", &[]);
     assert_eq!(found.map(|found| found.id.clone()), Some("w-2".into()));
 }
 
-/// Each replica sees few responses of an endpoint, so failures found by one must count for all.
+/// A single replica gets few responses from an endpoint, so failures at one must count for all.
 #[test]
 fn an_endpoint_reported_as_failing_by_another_replica_is_skipped() {
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), endpoint("p-2", Stage::Prefill)]);
@@ -147,9 +150,9 @@
         failure_permille: other.local_failure_permille(at(30)),
         ..Digest::default()
     };
-    loads.merge_digest(at(30), &digest);
-    let found = view(&directory, &loads, 40).prefill("drafting", 5_000, TARGET, "zone-a", &[]);
-    assert_eq!(id_of(found), Some("p-2".into()));
+    loads.apply_digest(at(30), &digest);
+    let found = view(&directory, &loads, 40).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[]);
+    assert_eq!(id(found), Some("p-2".into()));
 }
 
 #[test]
@@ -159,7 +162,7 @@
     complete(&mut loads, "d-1", 8, 3);
     let place = |loads: &Loads| {
         view(&directory, loads, 30)
-            .decode("drafting", &engine(), &run_of(5_000, 0))
+            .pick_decode("drafting", &engine(), &run_of(5_000, 0))
             .map(|found| found.id.clone())
     };
     assert_eq!(place(&loads), Some("d-2".into()));
@@ -172,7 +175,7 @@
     let directory = directory(vec![endpoint("w-1", Stage::Whole), endpoint("w-2", Stage::Whole)]);
     let loads = Loads::default();
     let avoid = ["w-1".into()];
-    let found = view(&directory, &loads, 0).whole("drafting", &avoid);
+    let found = view(&directory, &loads, 0).pick_whole("drafting", &avoid);
     assert_eq!(found.map(|found| found.id.clone()), Some("w-2".into()));
 }
 
@@ -184,38 +187,41 @@
     let mut loads = Loads::default();
     let mut placed = 0;
     while let Prefill::Endpoint(found) =
-        view(&directory, &loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &[])
+        view(&directory, &loads, 10).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[])
     {
         loads.acquire(at(0), &found.id, Share { prefill_tokens: 5_000, ..Share::default() });
         placed += 1;
     }
     assert_eq!(placed, 5);
-    assert_eq!(view(&directory, &loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &[]), Prefill::Busy);
     assert_eq!(
-        view(&directory, &loads, 10).prefill("drafting", 5_000, TARGET, "zone-a", &["p-1".into()]),
+        view(&directory, &loads, 10).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[]),
+        Prefill::Busy
+    );
+    assert_eq!(
+        view(&directory, &loads, 10).pick_prefill("drafting", 5_000, TTFT, "zone-a", &["p-1".into()]),
         Prefill::Unavailable
     );
 }
 
-/// A replica that hangs must not make prefill endpoints look busy until its whole digest is stale.
+/// A replica that hangs must not block prefill endpoints until its whole digest is stale.
 #[test]
 fn prompts_of_a_silent_replica_stop_counting_before_its_runs() {
     let directory = directory(vec![endpoint("p-1", Stage::Prefill), endpoint("d-1", Stage::Decode)]);
     let mut loads = Loads::default();
     let prefill = Share { prefill_tokens: 30_000, ..Share::default() };
     let shares = [("p-1".into(), prefill), ("d-1".into(), share_of(30_000))].into();
-    loads.merge_digest(at(0), &Digest { name: "frozen".into(), shares, ..Digest::default() });
+    loads.apply_digest(at(0), &Digest { name: "frozen".into(), shares, ..Digest::default() });
     assert_eq!(
-        view(&directory, &loads, 500).prefill("drafting", 5_000, TARGET, "zone-a", &[]),
+        view(&directory, &loads, 500).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[]),
         Prefill::Busy
     );
     assert_eq!(
-        id_of(view(&directory, &loads, 700).prefill("drafting", 5_000, TARGET, "zone-a", &[])),
+        id(view(&directory, &loads, 700).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[])),
         Some("p-1".into())
     );
     // Its runs still count until the digest is stale.
     let place =
-        |now| view(&directory, &loads, now).decode("drafting", &engine(), &run_of(40_000, 0)).is_some();
+        |now| view(&directory, &loads, now).pick_decode("drafting", &engine(), &run_of(40_000, 0)).is_some();
     assert!(!place(2_900));
     assert!(place(3_100));
 }
@@ -230,7 +236,7 @@
     loads.acquire(at(0), &"p-1".into(), prefill(2_000));
     loads.acquire(at(900), &"p-2".into(), prefill(8_000));
     let place = |loads: &Loads, now| {
-        id_of(view(&directory, loads, now).prefill("drafting", 5_000, TARGET, "zone-a", &[]))
+        id(view(&directory, loads, now).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[]))
     };
     assert_eq!(place(&loads, 700), Some("p-1".into()));
     assert_eq!(place(&loads, 901), Some("p-2".into()));
@@ -250,13 +256,13 @@
         loads.release(at(now), &lease, Outcome::ReservationRejected);
     }
     loads.acquire(at(20), &"p-2".into(), Share { prefill_tokens: 8_000, ..Share::default() });
-    let place = |now| id_of(view(&directory, &loads, now).prefill("drafting", 5_000, TARGET, "zone-a", &[]));
+    let place = |now| id(view(&directory, &loads, now).pick_prefill("drafting", 5_000, TTFT, "zone-a", &[]));
     assert_eq!(place(30), Some("p-2".into()));
     assert_eq!(place(300), Some("p-1".into()));
 }
 
-/// Two replicas must not have the same decode endpoint process prompts at the same time, which
-/// would stall its runs for both.
+/// Two replicas must not use the same decode endpoint for prefill at the same time, which would
+/// stall its runs twice.
 #[test]
 fn replicas_use_separate_decode_endpoints_for_prefill() {
     let directory = directory(
@@ -271,7 +277,7 @@
     let run = Run { target_gap: Duration::from_millis(300), ..run_of(5_000, 0) };
     let selected = |index| {
         let partition = Partition { index, count: 3 };
-        let found = View { partition, ..view(&directory, &loads, 10) }.pair("drafting", &engine(), &run);
+        let found = View { partition, ..view(&directory, &loads, 10) }.pick_pair("drafting", &engine(), &run);
         found.map(|found| (found.endpoint.id.clone(), found.prefill.is_none()))
     };
     assert_eq!(selected(1), Some(("d-2".into(), true)));
@@ -280,11 +286,11 @@
     let lease = loads.acquire(at(0), &"d-1".into(), share_of(5_000));
     loads.release(at(0), &lease, Outcome::Unreachable);
     let partition = Partition { index: 1, count: 3 };
-    let found = View { partition, ..view(&directory, &loads, 10) }.pair("drafting", &engine(), &run);
+    let found = View { partition, ..view(&directory, &loads, 10) }.pick_pair("drafting", &engine(), &run);
     assert_eq!(found.map(|found| found.endpoint.id.clone()), Some("d-2".into()));
 }
 
-/// Two prompts in a row would stall an event that falls between them for both.
+/// Two prompts in a row would delay the same event of a run twice.
 #[test]
 fn a_decode_endpoint_pauses_between_two_prefills() {
     let directory = directory(vec![endpoint("d-1", Stage::Decode), endpoint("p-1", Stage::Prefill)]);
@@ -293,7 +299,7 @@
     let lease = loads.acquire(at(0), &"d-1".into(), Share { prefill_tokens: 5_000, ..share_of(5_000) });
     let run = Run { target_gap: Duration::from_millis(300), ..run_of(5_000, 0) };
     let is_placed =
-        |loads: &Loads, now| view(&directory, loads, now).pair("drafting", &engine(), &run).is_some();
+        |loads: &Loads, now| view(&directory, loads, now).pick_pair("drafting", &engine(), &run).is_some();
     assert!(!is_placed(&loads, 10));
     loads.record_first_event(at(200), &lease, Duration::from_millis(120));
     assert!(!is_placed(&loads, 250));
@@ -310,7 +316,7 @@
     let lease = loads.acquire(at(20), &"w-1".into(), Share { running: 1, ..Share::default() });
     loads.release(at(21), &lease, Outcome::Refused);
     let place = |loads: &Loads, now| {
-        view(&directory, loads, now).whole("drafting", &[]).map(|found| found.id.clone())
+        view(&directory, loads, now).pick_whole("drafting", &[]).map(|found| found.id.clone())
     };
     assert_eq!(place(&loads, 22), Some("w-2".into()));
     let lease = loads.acquire(at(200), &"w-1".into(), Share { running: 1, ..Share::default() });
@@ -331,7 +337,7 @@
         let name = format!("entry-{replica}");
         let view = View { replica: &name, ..view(&directory, &loads, 10) };
         let found =
-            view.decode("drafting", &engine(), &run_of(7_000, 0)).expect("an endpoint with free memory");
+            view.pick_decode("drafting", &engine(), &run_of(7_000, 0)).expect("an endpoint with free memory");
         *runs_by_endpoint.entry(found.id.clone()).or_default() += 1;
     }
     // Each endpoint has memory for eight runs.
@@ -339,7 +345,6 @@
     assert!(runs_by_endpoint.len() >= 5, "{runs_by_endpoint:?}");
 }
 
-/// The preference must not outweigh a large difference in free memory.
 #[test]
 fn the_preference_does_not_outweigh_free_memory() {
     let directory = directory(vec![endpoint("d-1", Stage::Decode), endpoint("d-2", Stage::Decode)]);
@@ -349,7 +354,7 @@
         let name = format!("entry-{replica}");
         let view = View { replica: &name, ..view(&directory, &loads, 10) };
         let found =
-            view.decode("drafting", &engine(), &run_of(7_000, 0)).expect("an endpoint with free memory");
+            view.pick_decode("drafting", &engine(), &run_of(7_000, 0)).expect("an endpoint with free memory");
         assert_eq!(&*found.id, "d-2");
     }
 }
