--- a/crates/bench/src/check/invariant.rs
+++ b/crates/bench/src/check/invariant.rs
@@ -85,8 +85,8 @@
 fn late_use(history: &History, confirmation: &Confirmation) -> Option<String> {
     let Change::Withdrawn(tenant) = &confirmation.change else { return None };
     let late_call = history.calls.iter().find(|call| {
-        let answered = call.answers.iter().any(|answer| matches!(answer, Outcome::Answered { .. }));
-        call.tenant == *tenant && call.began > confirmation.at + PROPAGATION_TIMEOUT && answered
+        let is_answered = call.answers.iter().any(|answer| matches!(answer, Outcome::Answered { .. }));
+        call.tenant == *tenant && call.began > confirmation.at + PROPAGATION_TIMEOUT && is_answered
     })?;
     Some(format!("{tenant} was served {:?} after its key was withdrawn", late_call.began - confirmation.at))
 }
@@ -177,8 +177,8 @@
         let newest = history
             .confirmations
             .iter()
-            .filter(|c| history.ended > c.at + PROPAGATION_TIMEOUT)
-            .map(|c| c.version)
+            .filter(|confirmation| history.ended > confirmation.at + PROPAGATION_TIMEOUT)
+            .map(|confirmation| confirmation.version)
             .max()?;
         history.versions.iter().find_map(|(process, samples)| {
             let (at, version) = samples.last()?;
--- a/crates/bench/src/check/run.rs
+++ b/crates/bench/src/check/run.rs
@@ -249,13 +249,13 @@
     confirm_change(fleet, recorder, intent, Change::Drained("decode-0".into())).await;
 }
 
-/// Plans a change through each entry on the same settings version and confirms all at once. At most
-/// one may succeed.
+/// Plans and confirms a change through each entry concurrently. Of the changes planned on the same settings
+/// version, at most one may be confirmed.
 async fn change_concurrently(fleet: &Fleet, recorder: &Arc<Recorder>, number: usize) {
     let mut tasks = Vec::new();
-    for (at, entry) in fleet.entries.iter().flatten().enumerate() {
+    for (index, entry) in fleet.entries.iter().flatten().enumerate() {
         let client = Client::new(entry.admin(), None);
-        let burst = TENANT_LIMITS.1 - 1 - (number * ENTRIES + at) as u64;
+        let burst = TENANT_LIMITS.1 - 1 - (number * ENTRIES + index) as u64;
         let intent = Intent::PutCustomer { name: TENANTS[1].into(), rate: TENANT_LIMITS.0, burst, weight: 1 };
         let recorder = recorder.clone();
         tasks.push(task::spawn(async move {
@@ -378,11 +378,11 @@
 /// Injects a defect that the router cannot detect, so that only the checker can.
 fn inject_defect(fleet: &mut Fleet, defect: Option<Invariant>) {
     match defect {
-        Some(Invariant::MemoryFreed) => fleet.decode.iter().for_each(|e| e.faults.set_defect(true)),
+        Some(Invariant::MemoryFreed) => fleet.decode.iter().for_each(|engine| engine.faults.set_defect(true)),
         Some(Invariant::WholeAnswer) => {
             fleet.decode.iter().for_each(|engine| engine.faults.set_wrong_output(true))
         }
-        Some(Invariant::AtMostOnce) => fleet.plain.iter().for_each(|s| s.faults.set_defect(true)),
+        Some(Invariant::AtMostOnce) => fleet.plain.iter().for_each(|service| service.faults.set_defect(true)),
         Some(Invariant::KeyHonoured) => {
             let key = format!("settings/key/{}", tarragonhill_core::settings::digest(&key_of(TENANTS[0])));
             let value = json!({ "id": "crossed", "customer": TENANTS[1] });
@@ -399,8 +399,8 @@
     }
 }
 
-/// Sends requests or records events so that the injected defect shows in the history, independently
-/// of the scenario.
+/// Sends requests or records events that make the injected defect visible in the history, whatever the
+/// scenario.
 async fn trigger_defect(
     fleet: &mut Fleet,
     recorder: &Arc<Recorder>,
@@ -422,7 +422,7 @@
             calls.extend(complete(fleet, recorder, 0, 1, completion(1, 8)))
         }
         Invariant::KeyHonoured | Invariant::AtMostOnce => {
-            // Several, as the scenario may have used up the customer's rate tokens.
+            // Some may be refused if the scenario has used up the customer's rate tokens.
             for key in 0..8 {
                 calls.extend(submit(fleet, recorder, 0, 1, 9 + key));
                 task::sleep(FAULT_DURATION / 2).await;
--- a/crates/bench/src/check/scenario.rs
+++ b/crates/bench/src/check/scenario.rs
@@ -80,7 +80,7 @@
     Drain,
     /// A fault is injected.
     Inject(Fault),
-    /// No step happens for this many milliseconds.
+    /// The next step is delayed by this many milliseconds.
     Pause(u64),
 }
 
@@ -120,9 +120,9 @@
         // Only the number and order of steps are shrunk, not the steps themselves.
         let steps = self.0.clone();
         let halves = [steps[..steps.len() / 2].to_vec(), steps[steps.len() / 2..].to_vec()];
-        let without = (0..steps.len()).map(move |at| {
+        let without = (0..steps.len()).map(move |index| {
             let mut remaining = steps.clone();
-            remaining.remove(at);
+            remaining.remove(index);
             remaining
         });
         Box::new(halves.into_iter().chain(without).filter(|steps| !steps.is_empty()).map(Self))
--- a/crates/bench/src/cmd/demo.rs
+++ b/crates/bench/src/cmd/demo.rs
@@ -168,9 +168,9 @@
     let two = second.call("POST", &path, &body, Some("submission-G-7")).await;
     let runs: u32 = fleet.plain.iter().map(|service| service.executions().values().sum::<u32>()).sum();
     println!("  answers {:?} and {:?}, executed {runs} time(s)", status_of(&one), status_of(&two));
-    let same = matches!((&one, &two), (Ok(one), Ok(two)) if one == two && one.0 == 200);
-    tally.record("submissions executed once", same && runs == 1, true);
-    tally.record("submissions executed once", same && runs == 1, true);
+    let is_same = matches!((&one, &two), (Ok(one), Ok(two)) if one == two && one.0 == 200);
+    tally.record("submissions executed once", is_same && runs == 1, true);
+    tally.record("submissions executed once", is_same && runs == 1, true);
 }
 
 fn status_of(answer: &Result<(u16, serde_json::Value), tarragonhill_http::client::Error>) -> Option<u16> {
--- a/crates/bench/src/cmd/overhead.rs
+++ b/crates/bench/src/cmd/overhead.rs
@@ -93,8 +93,8 @@
     for _ in 0..requests {
         let (address, request) = make_request();
         let began = Instant::now();
-        let Ok(answer) = pool.send(address, request, TIMEOUT).await else { continue };
-        if answer.status() == 200 && answer.bytes().await.is_ok() {
+        let Ok(response) = pool.send(address, request, TIMEOUT).await else { continue };
+        if response.status() == 200 && response.bytes().await.is_ok() {
             let micros = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
             latency.saturating_record(micros);
         }
--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -86,8 +86,8 @@
 
     fn fit(&self) {
         let line = |value: fn(&Point) -> f64| {
-            let (slope, at_zero) = fit(&self.points, value);
-            json!({ "each": round(slope), "fixed": round(at_zero) })
+            let (slope, intercept) = fit(&self.points, value);
+            json!({ "each": round(slope), "fixed": round(intercept) })
         };
         println!(
             "{}",
@@ -201,11 +201,11 @@
 
 /// Returns a home that owns all shards, as in a fleet with one entry.
 fn single_home() -> Home {
-    let me: Arc<str> = "entry-0".into();
-    let mut home = Home::new(me.clone(), 1, "127.0.0.1:1".into(), "zone-0".into());
+    let owner: Arc<str> = "entry-0".into();
+    let mut home = Home::new(owner.clone(), 1, "127.0.0.1:1".into(), "zone-0".into());
     for shard in 0..home::SHARDS {
         let row = home::Shard {
-            owner: me.clone(),
+            owner: owner.clone(),
             incarnation: 1,
             epoch: 1,
             successor: "".into(),
@@ -245,7 +245,7 @@
 /// Measures the rate limiters of an entry, with one request per second for each active customer.
 fn measure_limiters() {
     let mut series =
-        Series::new("entry", "rate limiters, one request a second for each customer", "active customers");
+        Series::new("entry", "purses, one request a second for each customer", "active customers");
     for n in CUSTOMERS {
         let before = resident_bytes();
         let mut limiters: Vec<Limiter> = (0..n).map(|_| Limiter::new(Time::ZERO)).collect();
@@ -273,10 +273,10 @@
     series.fit();
 }
 
-/// Measures the placement at an entry, with 250 requests per second and two choices per request. All
+/// Measures the placement at an entry, with 250 requests per second and two placements per request. All
 /// endpoints serve the same model.
 fn measure_placement() {
-    const CHOICES: usize = 500;
+    const PLACEMENTS: usize = 500;
     let mut series = Series::new("entry", "placement, 250 requests a second", "endpoints of one model");
     for n in ENDPOINTS {
         let before = resident_bytes();
@@ -288,7 +288,7 @@
         }
         let mut rng = ChaCha8Rng::seed_from_u64(1);
         let began = Instant::now();
-        for number in 0..CHOICES {
+        for number in 0..PLACEMENTS {
             let attempt = Attempt { request: Request(number as u128), number: 1 };
             let (now, tried) = (Time::ZERO.plus(Duration::from_millis(20)), BTreeSet::new());
             let search = Search {
@@ -299,14 +299,14 @@
                 attempt,
                 tried: &tried,
             };
-            let chosen = view.place(now, &mut rng, &search);
-            if let Some(chosen) = chosen {
-                view.remove_sent(&chosen, attempt);
+            let placed = view.place(now, &mut rng, &search);
+            if let Some(endpoint) = placed {
+                view.remove_sent(&endpoint, attempt);
             }
         }
         let cpu_us_per_s = began.elapsed().as_secs_f64() * 1e6;
         let bytes = resident_bytes().saturating_sub(before) as f64;
-        series.add(Point { n, cpu_us_per_s, bytes, msgs_per_s: CHOICES as f64, ..Point::default() });
+        series.add(Point { n, cpu_us_per_s, bytes, msgs_per_s: PLACEMENTS as f64, ..Point::default() });
     }
     series.fit();
 }
@@ -403,7 +403,7 @@
 /// Measures streams through one entry. The whole process is counted: callers, simulated servers, the
 /// entry and both ends of the link.
 async fn measure_streams() -> Result<(), FleetError> {
-    let mut series = Series::new("entry, agent, caller and simulated servers", "streams", "streamed answers");
+    let mut series = Series::new("entry, agent, caller and stand-ins", "streams", "streamed answers");
     for n in STREAMS {
         let mut shape = idle_shape(1, 0);
         (shape.prefill, shape.decode) = (1, 1);
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -334,6 +334,6 @@
 /// Fetches the state dump of the daemon with this admin address, or `None` if the request fails.
 pub async fn fetch_dump(admin: SocketAddr) -> Option<Value> {
     let pool = Pool::default();
-    let answer = pool.send(admin, Request::get("/dump"), Duration::from_secs(2)).await.ok()?;
-    answer.json().await.ok()
+    let response = pool.send(admin, Request::get("/dump"), Duration::from_secs(2)).await.ok()?;
+    response.json().await.ok()
 }
--- a/crates/bench/src/platform/endpoint.rs
+++ b/crates/bench/src/platform/endpoint.rs
@@ -245,7 +245,7 @@
         let is_replaced = lock(&self.state).fault == Fault::Replaced;
         if is_replaced || expected.is_some_and(|expected| expected != &*self.id) {
             let instance = if is_replaced { "another" } else { &*self.id };
-            let head = self.head(421, false);
+            let head = self.new_head(421, false);
             let mut head = head;
             head.fields.push("Tarragonhill-Instance-Id", instance);
             return send(connection, head, b"", Action::Keep).await;
@@ -258,13 +258,13 @@
             ("GET", "/v1/report") => {
                 let report = {
                     let state = lock(&self.state);
-                    let stage = state.assigned_role.unwrap_or(self.role).to_string();
-                    json!({"stage": stage, "busy": false, "seq": state.orders.len()})
+                    let role = state.assigned_role.unwrap_or(self.role).to_string();
+                    json!({"stage": role, "busy": false, "seq": state.orders.len()})
                 };
-                self.json(connection, 200, &report).await
+                self.send_json(connection, 200, &report).await
             }
             ("POST", "/v1/order") => self.change_role(connection).await,
-            ("GET", "/health") => self.json(connection, 200, &json!({})).await,
+            ("GET", "/health") => self.send_json(connection, 200, &json!({})).await,
             _ => self.execute(connection).await,
         }
     }
@@ -282,33 +282,33 @@
             })
         };
         match granted {
-            Some(id) => self.json(connection, 200, &json!({"hold": id})).await,
+            Some(id) => self.send_json(connection, 200, &json!({"hold": id})).await,
             None => self.refuse(connection).await,
         }
     }
 
     async fn change_role(self, connection: Connection) -> (Connection, Action) {
         let order: Value = serde_json::from_slice(&self.body).unwrap_or_default();
-        let stage = match order["stage"].as_str() {
+        let role = match order["stage"].as_str() {
             Some("prefill") => Some(Role::Prefill),
             Some("decode") => Some(Role::Decode),
             _ => None,
         };
-        let (Some(stage), Some(holder), Some(token)) =
-            (stage, order["holder"].as_str(), order["fencing_token"].as_u64())
+        let (Some(role), Some(holder), Some(token)) =
+            (role, order["holder"].as_str(), order["fencing_token"].as_u64())
         else {
-            return send(connection, self.head(400, false), b"", Action::Keep).await;
+            return send(connection, self.new_head(400, false), b"", Action::Keep).await;
         };
         let is_current = {
             let mut state = lock(&self.state);
             let is_current = order["expected_revision"].as_u64() == Some(state.orders.len() as u64);
             if is_current {
                 state.orders.push((holder.into(), token));
-                state.assigned_role = Some(stage);
+                state.assigned_role = Some(role);
             }
             is_current
         };
-        self.json(connection, if is_current { 202 } else { 409 }, &json!({})).await
+        self.send_json(connection, if is_current { 202 } else { 409 }, &json!({})).await
     }
 
     async fn release(self, connection: Connection) -> (Connection, Action) {
@@ -321,7 +321,7 @@
             }
         }
         lock(&self.kv_handles).remove(&id);
-        self.json(connection, 200, &json!({})).await
+        self.send_json(connection, 200, &json!({})).await
     }
 
     async fn execute(self, connection: Connection) -> (Connection, Action) {
@@ -336,7 +336,7 @@
             }
             Fault::Busy => {
                 self.record(false);
-                return send(connection, self.head(503, false), b"", Action::Keep).await;
+                return send(connection, self.new_head(503, false), b"", Action::Keep).await;
             }
             _ => {}
         }
@@ -346,7 +346,7 @@
             (Role::Prefill, Some("prefill")) => self.prefill(connection, fault).await,
             (Role::Decode, None) => self.decode(connection, fault).await,
             (Role::Plain, None) => self.plain(connection, fault).await,
-            _ => send(connection, self.head(421, false), b"", Action::Keep).await,
+            _ => send(connection, self.new_head(421, false), b"", Action::Keep).await,
         }
     }
 
@@ -361,7 +361,7 @@
         let handle = format!("{}-{}", self.id, lock(&self.state).next_id("r"));
         lock(&self.kv_handles).insert(handle.clone());
         task::sleep(EVENT_INTERVAL).await;
-        self.json(connection, 200, &json!({"kv_handle": handle, "tokens": 1, "version": 1})).await
+        self.send_json(connection, 200, &json!({"kv_handle": handle, "tokens": 1, "version": 1})).await
     }
 
     async fn decode(self, connection: Connection, fault: Fault) -> (Connection, Action) {
@@ -372,14 +372,14 @@
                 return self.refuse(connection).await;
             }
         }
-        let hold = self.head.fields.get("Tarragonhill-Kv-Hold").map(str::to_owned);
-        let reserved = hold.as_ref().and_then(|hold| lock(&self.state).reservations.remove(hold));
+        let reservation = self.head.fields.get("Tarragonhill-Kv-Hold").map(str::to_owned);
+        let reserved_tokens = reservation.as_ref().and_then(|id| lock(&self.state).reservations.remove(id));
         self.record(true);
         lock(&self.state).active_streams += 1;
         let result = self.stream(connection, fault).await;
         let mut state = lock(&self.state);
         state.active_streams -= 1;
-        state.free_tokens += reserved.unwrap_or(0);
+        state.free_tokens += reserved_tokens.unwrap_or(0);
         result
     }
 
@@ -387,10 +387,10 @@
         match fault {
             Fault::ResetAfterRun => return (connection, Action::Reset),
             Fault::Hang => return wait_for_close(connection).await,
-            Fault::Error => return send(connection, self.head(500, true), b"failed", Action::Keep).await,
+            Fault::Error => return send(connection, self.new_head(500, true), b"failed", Action::Keep).await,
             _ => {}
         }
-        let mut head = self.head(200, fault != Fault::Unsigned);
+        let mut head = self.new_head(200, fault != Fault::Unsigned);
         head.fields.push("Content-Type", "text/event-stream");
         head.fields.push("Transfer-Encoding", "chunked");
         if connection.write(&head.encode()).await.is_err() {
@@ -435,11 +435,11 @@
         self.record(true);
         let body =
             format!("{} {} {}", self.head.method, self.head.target, String::from_utf8_lossy(&self.body));
-        let success_head = self.head(200, fault != Fault::Unsigned);
+        let success_head = self.new_head(200, fault != Fault::Unsigned);
         match fault {
             Fault::ResetAfterRun => (connection, Action::Reset),
             Fault::Hang => wait_for_close(connection).await,
-            Fault::Error => send(connection, self.head(500, true), b"failed", Action::Keep).await,
+            Fault::Error => send(connection, self.new_head(500, true), b"failed", Action::Keep).await,
             Fault::Cut | Fault::CutInEvent => {
                 let mut connection = connection;
                 let mut head = success_head;
@@ -455,7 +455,7 @@
                 (connection, Action::Close)
             }
             Fault::Extra => {
-                let extra_head = self.head(200, true);
+                let extra_head = self.new_head(200, true);
                 let (mut connection, action) =
                     send(connection, success_head, body.as_bytes(), Action::Keep).await;
                 // Sent separately, where the caller expects the response to its next request.
@@ -475,7 +475,8 @@
         lock(&self.state).received.push(request);
     }
 
-    fn head(&self, status: u16, is_signed: bool) -> Response {
+    /// Creates the head of a response.
+    fn new_head(&self, status: u16, is_signed: bool) -> Response {
         let mut head = Response::new(status);
         if let Some(id) = self.head.fields.get("Tarragonhill-Request-Id") {
             head.fields.push("Tarragonhill-Request-Id", id);
@@ -486,14 +487,15 @@
         head
     }
 
+    /// Responds that the request was not executed.
     async fn refuse(&self, connection: Connection) -> (Connection, Action) {
-        let mut head = self.head(503, false);
+        let mut head = self.new_head(503, false);
         head.fields.push("Tarragonhill-Not-Executed", "1");
         send(connection, head, b"", Action::Keep).await
     }
 
-    async fn json(&self, connection: Connection, status: u16, value: &Value) -> (Connection, Action) {
-        let mut head = self.head(status, false);
+    async fn send_json(&self, connection: Connection, status: u16, value: &Value) -> (Connection, Action) {
+        let mut head = self.new_head(status, false);
         head.fields.push("Content-Type", "application/json");
         send(connection, head, value.to_string().as_bytes(), Action::Keep).await
     }
--- a/crates/bench/src/platform/site.rs
+++ b/crates/bench/src/platform/site.rs
@@ -25,7 +25,7 @@
     store::Store,
 };
 
-/// API key of the customer whose rate limit tests do not reach.
+/// API key of the customer with a high rate limit.
 pub const KEY: &str = "key-faculty";
 /// API key of the customer with a low rate limit.
 pub const SMALL_KEY: &str = "key-small";
@@ -156,12 +156,12 @@
     }
 
     fn settings(&self, number: usize, peer: SocketAddr) -> GatewaySettings {
-        let any = SocketAddr::from((self.ip, 0));
+        let any_port = SocketAddr::from((self.ip, 0));
         let common = CommonSettings {
             name: format!("entry-{number}").into(),
             zone: "zone-a".into(),
-            listen: any,
-            admin: any,
+            listen: any_port,
+            admin: any_port,
             table: self.store.address(),
             poll: Duration::from_secs(1),
             drain: Duration::ZERO,
@@ -226,7 +226,7 @@
         self.store.put("op", "config", configuration);
     }
 
-    /// Returns the caller address of the first replica.
+    /// Returns the address at which the first replica serves callers.
     pub fn address(&self) -> SocketAddr {
         self.gateways[0].address()
     }
--- a/crates/bench/src/platform/store.rs
+++ b/crates/bench/src/platform/store.rs
@@ -49,7 +49,7 @@
 struct Row {
     value: String,
     version: u64,
-    removed: bool,
+    is_removed: bool,
 }
 
 #[derive(Debug, Default)]
@@ -68,7 +68,8 @@
 impl State {
     fn write(&mut self, table: &str, key: &str, value: Option<String>) {
         self.version += 1;
-        let row = Row { removed: value.is_none(), value: value.unwrap_or_default(), version: self.version };
+        let row =
+            Row { is_removed: value.is_none(), value: value.unwrap_or_default(), version: self.version };
         self.rows.insert((table.into(), key.into()), row);
     }
 
@@ -86,7 +87,7 @@
 
 fn encode(table: &str, key: &str, row: &Row) -> Value {
     let mut encoded = json!({"table": table, "part": "", "key": key, "row_version": row.version});
-    if row.removed {
+    if row.is_removed {
         encoded["removed"] = true.into();
     } else {
         encoded["value"] = row.value.as_str().into();
@@ -163,7 +164,7 @@
     /// Returns whether a row exists.
     pub fn has(&self, table: &str, key: &str) -> bool {
         let state = lock(&self.state);
-        state.rows.get(&(table.into(), key.into())).is_some_and(|row| !row.removed)
+        state.rows.get(&(table.into(), key.into())).is_some_and(|row| !row.is_removed)
     }
 
     /// Returns the number of calls received.
@@ -216,7 +217,7 @@
     let rows = state
         .rows
         .iter()
-        .filter(|((row_table, key), row)| row_table == table && !row.removed && *key >= from);
+        .filter(|((row_table, key), row)| row_table == table && !row.is_removed && *key >= from);
     let mut rows: Vec<Value> =
         rows.take(PAGE_ROWS + 1).map(|((table, key), row)| encode(table, key, row)).collect();
     let truncated = rows.len() > PAGE_ROWS;
@@ -269,7 +270,8 @@
 fn transact(state: &mut State, body: &[u8]) -> (u16, Value) {
     let Ok(transaction) = serde_json::from_slice::<Transaction>(body) else { return (400, json!({})) };
     let is_met = |expected: &Expected| {
-        let row = state.rows.get(&(expected.table.clone(), expected.key.clone())).filter(|row| !row.removed);
+        let row =
+            state.rows.get(&(expected.table.clone(), expected.key.clone())).filter(|row| !row.is_removed);
         row.map_or(0, |row| row.version) == expected.row_version
     };
     if !transaction.expected_revision.iter().all(is_met) {
--- a/crates/bench/src/score.rs
+++ b/crates/bench/src/score.rs
@@ -1,5 +1,5 @@
 //! Scores of a benchmark run: goodput, wasted prefill work, fairness between customers, and counts of
-//! errors that must be zero.
+//! violations, which must be zero.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -62,14 +62,14 @@
 impl Score {
     /// Computes the scores of a run.
     pub fn of(records: &[Record], fleet: &Fleet, tenants: &[Tenant]) -> Self {
-        let entitled = entitled_counts(records, tenants);
-        let in_rate_total: usize = entitled.iter().sum::<usize>().max(1);
+        let in_rate = in_rate_counts(records, tenants);
+        let in_rate_total: usize = in_rate.iter().sum::<usize>().max(1);
         let within_targets = count_by_tenant(records, tenants, is_within_targets);
         let correct = count_by_tenant(records, tenants, is_correct);
         let fractions = |counts: &[usize]| -> Vec<f64> {
-            counts.iter().zip(&entitled).map(|(n, of)| (*n as f64 / (*of).max(1) as f64).min(1.0)).collect()
+            counts.iter().zip(&in_rate).map(|(n, of)| (*n as f64 / (*of).max(1) as f64).min(1.0)).collect()
         };
-        let within: usize = within_targets.iter().zip(&entitled).map(|(n, of)| (*n).min(*of)).sum();
+        let within: usize = within_targets.iter().zip(&in_rate).map(|(n, of)| (*n).min(*of)).sum();
         let completed = fractions(&correct);
         let wrongful_by_code = wrongful_refusals(records, tenants);
         let (first_token, gap) = histograms(records);
@@ -123,7 +123,7 @@
 /// order of arrival.
 ///
 /// Only the number counts: a policy may serve other requests of a customer than the bucket admits.
-fn entitled_counts(records: &[Record], tenants: &[Tenant]) -> Vec<usize> {
+fn in_rate_counts(records: &[Record], tenants: &[Tenant]) -> Vec<usize> {
     let mut buckets = full_buckets(tenants);
     let mut counts = vec![0; tenants.len()];
     for record in records {
@@ -161,6 +161,7 @@
     rate: f64,
     burst: f64,
     level: f64,
+    /// Time of the last refill, in seconds since the start of the run.
     at: f64,
 }
 
--- a/crates/bench/src/sim.rs
+++ b/crates/bench/src/sim.rs
@@ -158,7 +158,7 @@
         lock(&self.0).push((Instant::now(), work_id.to_owned()));
     }
 
-    /// Returns all entries, in order.
+    /// Returns all records, in the order of their start.
     pub fn all(&self) -> Vec<(Instant, String)> {
         lock(&self.0).clone()
     }
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -24,7 +24,7 @@
     Cascade,
 }
 
-/// Contracted share of the fleet's capacity of each customer.
+/// Share of the fleet's capacity that each customer has contracted.
 const CAPACITY_SHARES: [f64; 5] = [0.36, 0.26, 0.18, 0.13, 0.07];
 /// Index of the customer that periodically exceeds its rate.
 const BURSTY_TENANT: usize = 2;
--- a/crates/bench/tests/configuration.rs
+++ b/crates/bench/tests/configuration.rs
@@ -22,7 +22,7 @@
 const CUSTOMER_COUNT: usize = 21_000;
 /// Timeout for receiving a digest.
 const DIGEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Replicas whose rows need two pages.
+/// Number of replicas whose rows fill more than one page of the table.
 const REPLICA_COUNT: u64 = 700;
 /// An address without a listener.
 const UNUSED_ADDRESS: &str = "127.255.0.1:9";
--- a/crates/bench/tests/gateway.rs
+++ b/crates/bench/tests/gateway.rs
@@ -160,8 +160,8 @@
         let response = request(&site, lookup("r1"), b"").await;
         assert_eq!(response.head.status, 503);
         // After a shorter delay, callers would use up their only retry during the same outage.
-        let wait = response.header("Retry-After").and_then(|wait| wait.parse::<f64>().ok());
-        assert!(wait.is_some_and(|wait| wait >= 2.0), "{wait:?}");
+        let retry_after = response.header("Retry-After").and_then(|value| value.parse::<f64>().ok());
+        assert!(retry_after.is_some_and(|delay| delay >= 2.0), "{retry_after:?}");
     });
 }
 
@@ -598,15 +598,16 @@
             assert_eq!(response.head.status, 200);
         }
         let refused = refused.expect("30 requests of 200 tokens are more than a burst of 4,000");
-        let wait: f64 = refused.header("Retry-After").and_then(|wait| wait.parse().ok()).expect("a number");
-        assert!(wait > 0.0 && wait <= 6.0, "{wait}");
+        let retry_after: f64 =
+            refused.header("Retry-After").and_then(|value| value.parse().ok()).expect("a number");
+        assert!(retry_after > 0.0 && retry_after <= 6.0, "{retry_after}");
         assert_eq!(request(&site, submit("other"), b"case").await.head.status, 200);
     });
 }
 
 /// Otherwise a customer would get its burst again at each replica.
 #[test]
-fn tokens_spent_at_one_replica_are_spent_at_all() {
+fn tokens_spent_at_one_replica_count_at_every_replica() {
     run(async {
         let site = Site::start(Shape { gateways: 2, ..Shape::default() }).await.expect("the site starts");
         let small = |id: String| plain_request("POST", "/submit/x", SMALL_KEY, &id);
@@ -617,7 +618,7 @@
         {
             served += 1;
         }
-        wait_until("the other replica knows", async || {
+        wait_until("the other replica knows of the spent tokens", async || {
             site.state(1).await["left"]["small"].as_i64().is_some_and(|left| left < 200)
         })
         .await;
@@ -635,8 +636,8 @@
     run(async {
         let mut site = start_small_site().await;
         let address = site.address();
-        let mut kept = Caller::open(address).await.expect("a connection");
-        assert_eq!(kept.request(lookup("r1"), b"").await.expect("a response").head.status, 200);
+        let mut keep_alive = Caller::open(address).await.expect("a connection");
+        assert_eq!(keep_alive.request(lookup("r1"), b"").await.expect("a response").head.status, 200);
         let streaming = task::spawn(caller::request(address, stream("r2"), b"prompt"));
         let engine = site.endpoints(Role::Decode)[0].clone();
         wait_until("the stream has started", async || engine.active_streams() == 1).await;
@@ -644,9 +645,9 @@
         let admin = gateway.admin();
         let stopping = task::spawn(gateway.shutdown());
         wait_until_not_ready(admin).await;
-        let response = kept.request(lookup("r3"), b"").await.expect("a response");
+        let response = keep_alive.request(lookup("r3"), b"").await.expect("a response");
         assert_eq!((response.head.status, response.header("Connection")), (200, Some("close")));
-        assert!(kept.read_response().await.is_err());
+        assert!(keep_alive.read_response().await.is_err());
         let response = streaming.await.expect("a response");
         assert_eq!((response.is_complete, response.event_ids()), (true, all_event_ids()));
         stopping.await;
@@ -670,7 +671,7 @@
     });
 }
 
-/// Each engine is moved at most once, under an increasing fencing token.
+/// Each order must name its replica and carry a larger fencing token than the previous order.
 #[test]
 fn prefill_engines_are_moved_to_a_decode_pool_that_lacks_memory() {
     run(async {
--- a/crates/bench/tests/path.rs
+++ b/crates/bench/tests/path.rs
@@ -372,8 +372,8 @@
         let first = clients[0].plan(&put(5_000)).await.expect("a plan");
         let second = clients[1].plan(&put(6_000)).await.expect("a plan");
         assert_eq!(clients[0].confirm(&first).await, Ok(2));
-        let lost = clients[1].confirm(&second).await;
-        assert!(matches!(lost, Err(OperatorError::Refused { code, .. }) if code == "moved"));
+        let refused = clients[1].confirm(&second).await;
+        assert!(matches!(refused, Err(OperatorError::Refused { code, .. }) if code == "moved"));
         let settings = clients[0].settings().await.expect("settings");
         assert_eq!(settings["customers"]["grants"]["burst"], 5_000);
         assert_eq!(clients[1].resolve(&first.plan.id).await.expect("known")["outcome"], "confirmed");
@@ -437,11 +437,11 @@
         let planned =
             client.plan(&Intent::DrainHost { host: "host-prefill-0".into() }).await.expect("a plan");
         client.confirm(&planned).await.expect("confirmed");
-        let is_everywhere = || async {
+        let is_in_force_everywhere = || async {
             let known = client.resolve(&planned.plan.id).await;
             known.is_ok_and(|known| known["not_in_force_at"] == json!([]))
         };
-        assert!(wait_until(is_everywhere).await);
+        assert!(wait_until(is_in_force_everywhere).await);
         let before = fleet.prefill[0].starts.all().len();
         for number in 0..9 {
             let request = completion(&format!("after the drain {number}"), 2, false);
--- a/crates/bench/tests/refusals.rs
+++ b/crates/bench/tests/refusals.rs
@@ -72,11 +72,11 @@
     Case { head, expected: (code, status, not_run) }
 }
 
-async fn check(site: &Site, log: &LogBuffer, cases: Vec<Case>) {
+async fn assert_refused(site: &Site, log: &LogBuffer, cases: Vec<Case>) {
     for Case { head, expected: (code, status, not_run) } in cases {
         let id = head.fields.get("Tarragonhill-Request-Id").expect("an id").to_string();
-        let answer = caller::request(site.address(), head, b"x").await.expect("an answer");
-        assert_eq!(answer.head.status, status, "{code}");
+        let response = caller::request(site.address(), head, b"x").await.expect("a response");
+        assert_eq!(response.head.status, status, "{code}");
         wait_until("the refusal is logged", async || log.refusals().contains_key(&id)).await;
         assert_eq!(log.refusals()[&id], (code.to_string(), u64::from(status), not_run), "{id}");
     }
@@ -94,7 +94,7 @@
         let mut empty = Site::empty().await.expect("a store");
         empty.add_gateway().await.expect("a gateway");
         let early = plain_request("GET", "/lookup/x", KEY, "early");
-        check(&empty, &log, vec![case(early, "settings_unconfirmed", 503, true)]).await;
+        assert_refused(&empty, &log, vec![case(early, "settings_unconfirmed", 503, true)]).await;
 
         let shape = Shape { gateways: 1, prefill: 1, decode: 1, plain: 1 };
         let site = Site::start(shape).await.expect("the site starts");
@@ -103,7 +103,7 @@
         let stream = |id: &str, prompt| completion_request("/stream/x", KEY, id, prompt);
         let mut large = plain_request("POST", "/submit/x", SMALL_KEY, "spends");
         large.fields.set("Tarragonhill-Token-Counts", "800,0");
-        let spent = caller::request(site.address(), large, b"x").await.expect("an answer");
+        let spent = caller::request(site.address(), large, b"x").await.expect("a response");
         assert_eq!(spent.head.status, 200);
         let mut over = plain_request("POST", "/submit/x", SMALL_KEY, "over");
         over.fields.set("Tarragonhill-Token-Counts", "3900,0");
@@ -112,21 +112,22 @@
             case(plain_request("GET", "/lookup/x", "key-nobody", "nobody"), "bad_key", 401, true),
             case(over, "over_rate", 429, true),
         ];
-        check(&site, &log, cases).await;
+        assert_refused(&site, &log, cases).await;
 
         service.set_fault(Fault::Refuse);
-        check(&site, &log, vec![case(submit("full"), "no_endpoint", 503, true)]).await;
+        assert_refused(&site, &log, vec![case(submit("full"), "no_endpoint", 503, true)]).await;
         service.set_fault(Fault::ResetAfterRun);
-        check(&site, &log, vec![case(submit("lost"), "outcome_unknown", 502, false)]).await;
+        assert_refused(&site, &log, vec![case(submit("lost"), "outcome_unknown", 502, false)]).await;
         service.set_fault(Fault::Hang);
-        check(&site, &log, vec![case(with_short_deadline(submit("late")), "timeout", 504, false)]).await;
+        assert_refused(&site, &log, vec![case(with_short_deadline(submit("late")), "timeout", 504, false)])
+            .await;
         let infeasible = with_short_deadline(stream("infeasible", 30_000));
-        check(&site, &log, vec![case(infeasible, "overloaded", 503, true)]).await;
+        assert_refused(&site, &log, vec![case(infeasible, "overloaded", 503, true)]).await;
         site.endpoints(Role::Decode)[0].set_fault(Fault::ResetAfterRun);
-        check(&site, &log, vec![case(stream("broken", 5_000), "broken", 502, false)]).await;
+        assert_refused(&site, &log, vec![case(stream("broken", 5_000), "broken", 502, false)]).await;
 
         let without_service = Site::start(Shape { plain: 0, ..shape }).await.expect("the site starts");
-        check(
+        assert_refused(
             &without_service,
             &log,
             vec![case(plain_request("GET", "/lookup/x", KEY, "gone"), "no_endpoint", 503, true)],
@@ -141,8 +142,8 @@
         let mut long = stream("long", 5_000);
         long.fields.set("Tarragonhill-Token-Counts", "5000,100000");
         long.fields.set("Tarragonhill-Length-Hint", "100000");
-        let answer = caller::request(address, long, b"x").await.expect("an answer");
-        assert_eq!(answer.head.status, 503);
+        let response = caller::request(address, long, b"x").await.expect("a response");
+        assert_eq!(response.head.status, 503);
         wait_until("the refusal is logged", async || log.refusals().contains_key("long")).await;
         assert_eq!(log.refusals()["long"], ("shutting_down".to_string(), 503, true));
         stopped.await;
