--- a/crates/bench/src/check/history.rs
+++ b/crates/bench/src/check/history.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Customer whose key authorized the request.
-    pub tenant: String,
+    pub customer: String,
     /// Index of the entry that received the request.
     pub entry: usize,
     /// Payload.
--- a/crates/bench/src/check/invariant.rs
+++ b/crates/bench/src/check/invariant.rs
@@ -67,7 +67,7 @@
 
 fn one_answer(history: &History) -> Option<String> {
     let repeated = history.calls.iter().find(|call| call.answers.len() > 1)?;
-    Some(format!("{} answers to one request of {}", repeated.answers.len(), repeated.tenant))
+    Some(format!("{} answers to one request of {}", repeated.answers.len(), repeated.customer))
 }
 
 fn key_honoured(history: &History) -> Option<String> {
@@ -83,26 +83,26 @@
 }
 
 fn late_use(history: &History, confirmation: &Confirmation) -> Option<String> {
-    let Change::Withdrawn(tenant) = &confirmation.change else { return None };
+    let Change::Withdrawn(customer) = &confirmation.change else { return None };
     let late_call = history.calls.iter().find(|call| {
         let is_answered = call.answers.iter().any(|answer| matches!(answer, Outcome::Answered { .. }));
-        call.tenant == *tenant && call.began > confirmation.at + PROPAGATION_TIMEOUT && is_answered
+        call.customer == *customer && call.began > confirmation.at + PROPAGATION_TIMEOUT && is_answered
     })?;
-    Some(format!("{tenant} was served {:?} after its key was withdrawn", late_call.began - confirmation.at))
+    Some(format!("{customer} was served {:?} after its key was withdrawn", late_call.began - confirmation.at))
 }
 
 fn within_rate(history: &History) -> Option<String> {
-    history.limits.iter().find_map(|(tenant, (rate, burst))| {
+    history.limits.iter().find_map(|(customer, (rate, burst))| {
         let allowed = *burst as f64 + *rate as f64 * RATE_WAIT_SECS;
         let (mut sum, mut last) = (0.0_f64, 0.0_f64);
-        let mut calls: Vec<&Call> = history.calls.iter().filter(|call| call.tenant == *tenant).collect();
+        let mut calls: Vec<&Call> = history.calls.iter().filter(|call| call.customer == *customer).collect();
         calls.sort_by_key(|call| call.began);
         calls.into_iter().find_map(|call| {
             let at = call.began.as_secs_f64();
             sum = (sum - (at - last) * *rate as f64).max(0.0) + served_tokens(call);
             last = at;
             (sum > allowed)
-                .then(|| format!("{tenant} was served {sum:.0} tokens in one burst, allowed {allowed:.0}"))
+                .then(|| format!("{customer} was served {sum:.0} tokens in one burst, allowed {allowed:.0}"))
         })
     })
 }
@@ -124,7 +124,7 @@
         Outcome::Broken { text, .. } => !expected.starts_with(text.as_str()),
         Outcome::Refused(_) | Outcome::Failed(_) | Outcome::Unsent(_) => false,
     })?;
-    Some(format!("{} received a wrong answer to {:.40}...: {wrong:.120?}", call.tenant, completion.prompt))
+    Some(format!("{} received a wrong answer to {:.40}...: {wrong:.120?}", call.customer, completion.prompt))
 }
 
 fn not_run_true(history: &History) -> Option<String> {
@@ -162,7 +162,7 @@
         })?;
         Some(format!(
             "a request of {} was interrupted by the shutdown of entry {}: {:?}",
-            cut.tenant, cut.entry, cut.answers
+            cut.customer, cut.entry, cut.answers
         ))
     })
 }
--- a/crates/bench/src/check/run.rs
+++ b/crates/bench/src/check/run.rs
@@ -16,11 +16,11 @@
 use super::{
     history::{Call, Change, Confirmation, History, Payload, Shutdown},
     invariant::Invariant,
-    scenario::{ENTRIES, Fault, Scenario, Step, TENANTS},
+    scenario::{CUSTOMERS, ENTRIES, Fault, Scenario, Step},
 };
 use crate::{
     caller::{Caller, Completion, Outcome, Refusal},
-    fleet::{Fleet, FleetError, MODEL, SERVICE, Shape, Tenant, fetch_dump, key_of},
+    fleet::{Customer, Fleet, FleetError, MODEL, SERVICE, Shape, fetch_dump, key_of},
     sim::{POISON, decode, lock, prefill},
 };
 
@@ -31,7 +31,7 @@
 /// Maximum wait for the decode engines to free their memory at the end of a run.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(12);
 /// Rate (tokens per second) and burst (tokens) of each customer.
-const TENANT_LIMITS: (u64, u64) = (4_000, 6_000);
+const CUSTOMER_LIMITS: (u64, u64) = (4_000, 6_000);
 
 /// History of the run in progress.
 struct Recorder {
@@ -79,13 +79,14 @@
 }
 
 fn fleet_shape() -> Shape {
-    let tenants = TENANTS.iter().map(|name| Tenant::new(name, TENANT_LIMITS.0, TENANT_LIMITS.1)).collect();
+    let customers =
+        CUSTOMERS.iter().map(|name| Customer::new(name, CUSTOMER_LIMITS.0, CUSTOMER_LIMITS.1)).collect();
     Shape {
         entries: ENTRIES,
         prefill: 2,
         decode: 2,
         plain: 1,
-        tenants,
+        customers,
         prefill_profile: prefill::Profile { tokens_per_s: 400_000, ..prefill::Profile::default() },
         decode_profile: decode::Profile {
             pieces: 24,
@@ -129,19 +130,19 @@
     step: &Step,
 ) -> Result<Option<JoinHandle<()>>, FleetError> {
     match step {
-        Step::Complete { tenant, entry, tokens, stream } => {
+        Step::Complete { customer, entry, tokens, stream } => {
             let prompt =
-                format!("{} asks question {number}: {}", TENANTS[*tenant], "word ".repeat(number * 20));
+                format!("{} asks question {number}: {}", CUSTOMERS[*customer], "word ".repeat(number * 20));
             let completion = Completion { model: MODEL.into(), prompt, max_tokens: *tokens, stream: *stream };
-            return Ok(complete(fleet, recorder, *tenant, *entry, completion));
+            return Ok(complete(fleet, recorder, *customer, *entry, completion));
         }
         Step::Poison { entry } => {
             let prompt = format!("question {number} {POISON}");
             let completion = Completion { model: MODEL.into(), prompt, max_tokens: 8, stream: false };
             return Ok(complete(fleet, recorder, 0, *entry, completion));
         }
-        Step::Disconnect { tenant, entry } => return Ok(disconnect(fleet, *tenant, *entry, number)),
-        Step::Submit { tenant, entry, key } => return Ok(submit(fleet, recorder, *tenant, *entry, *key)),
+        Step::Disconnect { customer, entry } => return Ok(disconnect(fleet, *customer, *entry, number)),
+        Step::Submit { customer, entry, key } => return Ok(submit(fleet, recorder, *customer, *entry, *key)),
         Step::Withdraw => withdraw_key(fleet, recorder).await,
         Step::Race => change_concurrently(fleet, recorder, number).await,
         Step::Drain => drain_host(fleet, recorder).await,
@@ -154,17 +155,17 @@
 fn complete(
     fleet: &Fleet,
     recorder: &Arc<Recorder>,
-    tenant: usize,
+    customer: usize,
     entry: usize,
     completion: Completion,
 ) -> Option<JoinHandle<()>> {
-    let caller = Caller::new(fleet.entries[entry].as_ref()?.address(), key_of(TENANTS[tenant]));
+    let caller = Caller::new(fleet.entries[entry].as_ref()?.address(), key_of(CUSTOMERS[customer]));
     let recorder = recorder.clone();
     Some(task::spawn(async move {
         let began = recorder.now();
         let timed = caller.complete(&completion).await;
         let request = request_of(&timed.outcome);
-        record(&recorder, tenant, entry, Payload::Completion(completion), began, timed.outcome, request);
+        record(&recorder, customer, entry, Payload::Completion(completion), began, timed.outcome, request);
     }))
 }
 
@@ -177,7 +178,7 @@
 
 fn record(
     recorder: &Recorder,
-    tenant: usize,
+    customer: usize,
     entry: usize,
     payload: Payload,
     began: Duration,
@@ -189,13 +190,13 @@
         answers.push(answers[0].clone());
     }
     let ended = recorder.now();
-    let call = Call { tenant: TENANTS[tenant].into(), entry, payload, began, ended, answers, request };
+    let call = Call { customer: CUSTOMERS[customer].into(), entry, payload, began, ended, answers, request };
     recorder.update(|history| history.calls.push(call));
 }
 
-fn disconnect(fleet: &Fleet, tenant: usize, entry: usize, number: usize) -> Option<JoinHandle<()>> {
-    let caller = Caller::new(fleet.entries[entry].as_ref()?.address(), key_of(TENANTS[tenant]));
-    let prompt = format!("{} leaves early, {number}", TENANTS[tenant]);
+fn disconnect(fleet: &Fleet, customer: usize, entry: usize, number: usize) -> Option<JoinHandle<()>> {
+    let caller = Caller::new(fleet.entries[entry].as_ref()?.address(), key_of(CUSTOMERS[customer]));
+    let prompt = format!("{} leaves early, {number}", CUSTOMERS[customer]);
     let completion = Completion { model: MODEL.into(), prompt, max_tokens: 400, stream: true };
     Some(task::spawn(async move {
         let _ = caller.disconnect_after(&completion, 3).await;
@@ -205,13 +206,13 @@
 fn submit(
     fleet: &Fleet,
     recorder: &Arc<Recorder>,
-    tenant: usize,
+    customer: usize,
     entry: usize,
     key: usize,
 ) -> Option<JoinHandle<()>> {
-    let caller = Caller::new(fleet.entries[entry].as_ref()?.address(), key_of(TENANTS[tenant]));
+    let caller = Caller::new(fleet.entries[entry].as_ref()?.address(), key_of(CUSTOMERS[customer]));
     let recorder = recorder.clone();
-    let key = format!("{}/{key}", TENANTS[tenant]);
+    let key = format!("{}/{key}", CUSTOMERS[customer]);
     Some(task::spawn(async move {
         let began = recorder.now();
         let body = json!({ "filing": key });
@@ -224,7 +225,7 @@
         };
         let request = request_of(&outcome);
         let payload = Payload::Submission { key, body: body.to_string() };
-        record(&recorder, tenant, entry, payload, began, outcome, request);
+        record(&recorder, customer, entry, payload, began, outcome, request);
     }))
 }
 
@@ -239,9 +240,9 @@
 }
 
 async fn withdraw_key(fleet: &Fleet, recorder: &Recorder) {
-    let tenant = TENANTS[TENANTS.len() - 1];
-    let intent = Intent::WithdrawKey { id: format!("{tenant}-1").into(), running: WithdrawalPolicy::Cut };
-    confirm_change(fleet, recorder, intent, Change::Withdrawn(tenant.into())).await;
+    let customer = CUSTOMERS[CUSTOMERS.len() - 1];
+    let intent = Intent::WithdrawKey { id: format!("{customer}-1").into(), running: WithdrawalPolicy::Cut };
+    confirm_change(fleet, recorder, intent, Change::Withdrawn(customer.into())).await;
 }
 
 async fn drain_host(fleet: &Fleet, recorder: &Recorder) {
@@ -255,8 +256,9 @@
     let mut tasks = Vec::new();
     for (index, entry) in fleet.entries.iter().flatten().enumerate() {
         let client = Client::new(entry.admin(), None);
-        let burst = TENANT_LIMITS.1 - 1 - (number * ENTRIES + index) as u64;
-        let intent = Intent::PutCustomer { name: TENANTS[1].into(), rate: TENANT_LIMITS.0, burst, weight: 1 };
+        let burst = CUSTOMER_LIMITS.1 - 1 - (number * ENTRIES + index) as u64;
+        let intent =
+            Intent::PutCustomer { name: CUSTOMERS[1].into(), rate: CUSTOMER_LIMITS.0, burst, weight: 1 };
         let recorder = recorder.clone();
         tasks.push(task::spawn(async move {
             let Ok(planned) = client.plan(&intent).await else { return };
@@ -347,8 +349,8 @@
 fn collect(fleet: &Fleet, recorder: &Recorder, history: &mut History) {
     history.ended = recorder.now();
     history.pieces_in_use = fleet.decode.iter().map(|engine| engine.memory().0).sum();
-    for tenant in TENANTS {
-        history.limits.insert(tenant.into(), TENANT_LIMITS);
+    for customer in CUSTOMERS {
+        history.limits.insert(customer.into(), CUSTOMER_LIMITS);
     }
     for service in &fleet.plain {
         for execution in service.log() {
@@ -384,14 +386,14 @@
         }
         Some(Invariant::AtMostOnce) => fleet.plain.iter().for_each(|service| service.faults.set_defect(true)),
         Some(Invariant::KeyHonoured) => {
-            let key = format!("settings/key/{}", tarragonhill_core::settings::digest(&key_of(TENANTS[0])));
-            let value = json!({ "id": "crossed", "customer": TENANTS[1] });
+            let key = format!("settings/key/{}", tarragonhill_core::settings::digest(&key_of(CUSTOMERS[0])));
+            let value = json!({ "id": "crossed", "customer": CUSTOMERS[1] });
             fleet.table.put([(key, value), ("settings/version".into(), json!(2))]);
         }
         Some(Invariant::WithinRate) => {
-            let value = json!({ "rate": TENANT_LIMITS.0 * 50, "burst": TENANT_LIMITS.1 * 50 });
+            let value = json!({ "rate": CUSTOMER_LIMITS.0 * 50, "burst": CUSTOMER_LIMITS.1 * 50 });
             fleet.table.put([
-                (format!("settings/customer/{}", TENANTS[0]), value),
+                (format!("settings/customer/{}", CUSTOMERS[0]), value),
                 ("settings/version".into(), json!(2)),
             ]);
         }
--- a/crates/bench/src/check/scenario.rs
+++ b/crates/bench/src/check/scenario.rs
@@ -6,7 +6,7 @@
 /// Number of entries in a run.
 pub const ENTRIES: usize = 2;
 /// Names of the customers in a run.
-pub const TENANTS: [&str; 3] = ["faculty", "grants", "members"];
+pub const CUSTOMERS: [&str; 3] = ["faculty", "grants", "members"];
 const STEPS_PER_SCENARIO: usize = 24;
 
 /// Fault that a run can inject.
@@ -42,8 +42,8 @@
 pub enum Step {
     /// A caller requests a completion.
     Complete {
-        /// Index into [`TENANTS`].
-        tenant: usize,
+        /// Index into [`CUSTOMERS`].
+        customer: usize,
         /// Index of the entry.
         entry: usize,
         /// Maximum number of answer tokens.
@@ -53,15 +53,15 @@
     },
     /// A caller disconnects after a few tokens.
     Disconnect {
-        /// Index into [`TENANTS`].
-        tenant: usize,
+        /// Index into [`CUSTOMERS`].
+        customer: usize,
         /// Index of the entry.
         entry: usize,
     },
     /// A caller calls the plain service with an idempotency key, possibly one used before.
     Submit {
-        /// Index into [`TENANTS`].
-        tenant: usize,
+        /// Index into [`CUSTOMERS`].
+        customer: usize,
         /// Index of the entry.
         entry: usize,
         /// Index of the idempotency key.
@@ -86,16 +86,16 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let tenant = usize::arbitrary(g) % TENANTS.len();
+        let customer = usize::arbitrary(g) % CUSTOMERS.len();
         let entry = usize::arbitrary(g) % ENTRIES;
         let faults: Vec<Fault> = Fault::iter().collect();
         match u8::arbitrary(g) % 32 {
             0..=11 => {
                 let tokens = u32::from(u8::arbitrary(g)) % 60 + 2;
-                Self::Complete { tenant, entry, tokens, stream: bool::arbitrary(g) }
+                Self::Complete { customer, entry, tokens, stream: bool::arbitrary(g) }
             }
-            12..=13 => Self::Disconnect { tenant, entry },
-            14..=19 => Self::Submit { tenant, entry, key: usize::arbitrary(g) % 4 },
+            12..=13 => Self::Disconnect { customer, entry },
+            14..=19 => Self::Submit { customer, entry, key: usize::arbitrary(g) % 4 },
             20 => Self::Poison { entry },
             21 => Self::Withdraw,
             22 => Self::Race,
--- a/crates/bench/src/cmd/demo.rs
+++ b/crates/bench/src/cmd/demo.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     caller::{Caller, Completion, Outcome, TimedOutcome},
-    fleet::{Fleet, FleetError, MODEL, SERVICE, Shape, Tenant, key_of},
+    fleet::{Customer, Fleet, FleetError, MODEL, SERVICE, Shape, key_of},
 };
 
 /// Maximum wait for an expected condition.
@@ -53,7 +53,7 @@
 pub async fn execute() -> Result<bool, FleetError> {
     let began = Instant::now();
     let mut shape = Shape::small();
-    shape.tenants.push(Tenant::new("members", 2_000, 3_000));
+    shape.customers.push(Customer::new("members", 2_000, 3_000));
     println!("starting 3 entries, 7 agents and simulated servers ...");
     let fleet = Fleet::start(shape).await?;
     println!("ready after {} ms", began.elapsed().as_millis());
@@ -92,19 +92,20 @@
     println!("24 requests of two customers through all entries:");
     let mut tasks = Vec::new();
     for number in 0..24_usize {
-        let tenant = ["faculty", "grants"][number % 2];
-        let caller = Caller::new(fleet.entry(number % fleet.entries.len()).address(), key_of(tenant));
-        let prompt = format!("evidence summary {number} for {tenant}: {}", "text ".repeat(200 + number * 40));
+        let customer = ["faculty", "grants"][number % 2];
+        let caller = Caller::new(fleet.entry(number % fleet.entries.len()).address(), key_of(customer));
+        let prompt =
+            format!("evidence summary {number} for {customer}: {}", "text ".repeat(200 + number * 40));
         let request = completion(prompt, 40, number % 3 != 0);
         tasks.push(task::spawn(async move {
             let timed = caller.complete(&request).await;
-            (tenant, timed.is_correct(&request), timed)
+            (customer, timed.is_correct(&request), timed)
         }));
     }
     for (number, task) in tasks.into_iter().enumerate() {
-        let (tenant, is_correct, timed) = task.await;
+        let (customer, is_correct, timed) = task.await;
         if number % 6 == 0 || !is_correct {
-            print_outcome(tenant, &timed);
+            print_outcome(customer, &timed);
         }
         tally.record(
             "mixed requests answered correctly",
--- a/crates/bench/src/cmd/measure.rs
+++ b/crates/bench/src/cmd/measure.rs
@@ -95,7 +95,7 @@
 
 async fn run_policy(options: &Options, policy: Policy, load: &[Arrival]) -> Result<Score, FleetError> {
     let shape = options.deployment.shape(policy);
-    let tenants = shape.tenants.clone();
+    let customers = shape.customers.clone();
     let mut fleet = Fleet::start(shape).await?;
     let delay = options.deployment.delay();
     fleet.prefill.iter().for_each(|engine| engine.faults.set_delay(delay));
@@ -106,7 +106,7 @@
     let addresses: Vec<_> = fleet.entries.iter().flatten().map(|entry| entry.address()).collect();
     let callers: Vec<Vec<Arc<Caller>>> = addresses
         .iter()
-        .map(|address| tenants.iter().map(|t| Arc::new(Caller::new(*address, key_of(&t.name)))).collect())
+        .map(|address| customers.iter().map(|t| Arc::new(Caller::new(*address, key_of(&t.name)))).collect())
         .collect();
     let began = Instant::now();
     let fault_at = Duration::from_secs_f64(options.seconds as f64 * FAULT_START);
@@ -123,7 +123,7 @@
             (Fault::EntryKilled, true) => 1 + arrival.entry % 2,
             _ => arrival.entry,
         };
-        let caller = callers[entry][arrival.tenant].clone();
+        let caller = callers[entry][arrival.customer].clone();
         let arrival = arrival.clone();
         tasks.push(task::spawn(async move {
             let timed = caller.complete(&arrival.completion).await;
@@ -134,7 +134,7 @@
     for task in tasks {
         records.push(task.await);
     }
-    let score = Score::of(&records, &fleet, &tenants);
+    let score = Score::of(&records, &fleet, &customers);
     fleet.stop().await;
     Ok(score)
 }
--- a/crates/bench/src/cmd/overhead.rs
+++ b/crates/bench/src/cmd/overhead.rs
@@ -13,7 +13,7 @@
 use tarragonhill_http::client::{Pool, Request};
 
 use crate::{
-    fleet::{Fleet, FleetError, SERVICE, Shape, Tenant, key_of},
+    fleet::{Customer, Fleet, FleetError, SERVICE, Shape, key_of},
     score::new_histogram,
     usage::cpu_time,
 };
@@ -45,7 +45,7 @@
 pub async fn execute(options: Options) -> Result<bool, FleetError> {
     let mut shape = Shape::small();
     (shape.entries, shape.prefill, shape.decode, shape.plain) = (1, 1, 1, 1);
-    shape.tenants = vec![Tenant::new("caller", 10_000_000, 10_000_000)];
+    shape.customers = vec![Customer::new("caller", 10_000_000, 10_000_000)];
     shape.plain_latency = Duration::ZERO;
     let fleet = Fleet::start(shape).await?;
     let direct_to = fleet.plain[0].address();
--- a/crates/bench/src/cmd/slopes.rs
+++ b/crates/bench/src/cmd/slopes.rs
@@ -21,12 +21,12 @@
     message::{Load, Order, Work},
     placement::{Need, Policy, Search, View},
     quota::{Limiter, LoanRequest, Waiter},
-    settings::{Customer, Endpoint, Key, Role, Row, Snapshot, WithdrawalPolicy, digest},
+    settings::{Customer as CustomerSettings, Endpoint, Key, Role, Row, Snapshot, WithdrawalPolicy, digest},
 };
 
 use crate::{
     caller::{Caller, Completion},
-    fleet::{Fleet, FleetError, MODEL, Shape, Tenant, key_of},
+    fleet::{Customer, Fleet, FleetError, MODEL, Shape, key_of},
     usage::{cpu_time, loopback_traffic, resident_bytes},
 };
 
@@ -134,8 +134,8 @@
     format!("{kind}-{number}").into()
 }
 
-fn customer_limits() -> Customer {
-    Customer { rate: 10_000, burst: 20_000, weight: 1 }
+fn customer_limits() -> CustomerSettings {
+    CustomerSettings { rate: 10_000, burst: 20_000, weight: 1 }
 }
 
 /// Returns settings with `customers` customers, one key for each, and 610 endpoints.
@@ -407,7 +407,7 @@
     for n in STREAMS {
         let mut shape = idle_shape(1, 0);
         (shape.prefill, shape.decode) = (1, 1);
-        shape.tenants = vec![Tenant::new("reader", 10_000_000, 10_000_000)];
+        shape.customers = vec![Customer::new("reader", 10_000_000, 10_000_000)];
         (shape.decode_profile.pieces, shape.decode_profile.step_per_request) = (1_000, Duration::ZERO);
         let fleet = Fleet::start(shape).await?;
         let streams: Vec<_> =
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -7,7 +7,9 @@
 use tarragonhill_core::{
     Clock,
     placement::Policy,
-    settings::{Customer, Endpoint, Key, Role, Row, VERSION_ROW, WithdrawalPolicy, digest},
+    settings::{
+        Customer as CustomerSettings, Endpoint, Key, Role, Row, VERSION_ROW, WithdrawalPolicy, digest,
+    },
 };
 use tarragonhill_daemon::{
     StartError,
@@ -38,7 +40,7 @@
 
 /// Customer of the fleet.
 #[derive(Clone, Debug)]
-pub struct Tenant {
+pub struct Customer {
     /// Name; [`key_of`] returns the API key.
     pub name: String,
     /// Rate limit, tokens per second.
@@ -47,7 +49,7 @@
     pub burst: u64,
 }
 
-impl Tenant {
+impl Customer {
     /// Creates a customer.
     pub fn new(name: &str, rate: u64, burst: u64) -> Self {
         Self { name: name.to_owned(), rate, burst }
@@ -55,8 +57,8 @@
 }
 
 /// Returns the API key of a customer.
-pub fn key_of(tenant: &str) -> String {
-    format!("{tenant}-key")
+pub fn key_of(customer: &str) -> String {
+    format!("{customer}-key")
 }
 
 /// Size and configuration of a fleet.
@@ -73,7 +75,7 @@
     /// Number of availability zones.
     pub zones: usize,
     /// Customers.
-    pub tenants: Vec<Tenant>,
+    pub customers: Vec<Customer>,
     /// Placement policy.
     pub policy: Policy,
     /// Performance profile of the prefill engines.
@@ -93,7 +95,10 @@
             decode: 3,
             plain: 2,
             zones: 3,
-            tenants: vec![Tenant::new("faculty", 200_000, 400_000), Tenant::new("grants", 50_000, 100_000)],
+            customers: vec![
+                Customer::new("faculty", 200_000, 400_000),
+                Customer::new("grants", 50_000, 100_000),
+            ],
             policy: Policy::Current,
             prefill_profile: prefill::Profile::default(),
             decode_profile: decode::Profile::default(),
@@ -170,7 +175,7 @@
             shape,
         };
         let mut rows = fleet.start_endpoints().await?;
-        rows.extend(fleet.tenant_rows());
+        rows.extend(fleet.customer_rows());
         rows.push((VERSION_ROW.to_owned(), json!(1)));
         fleet.table.put(rows);
         for number in 0..fleet.shape.entries {
@@ -266,10 +271,10 @@
         Ok(Entry::start(settings, Clock::runtime()).await?)
     }
 
-    fn tenant_rows(&self) -> Vec<(String, Value)> {
+    fn customer_rows(&self) -> Vec<(String, Value)> {
         let mut rows = Vec::new();
-        for Tenant { name, rate, burst } in &self.shape.tenants {
-            let customer = Customer { rate: *rate, burst: *burst, weight: 1 };
+        for Customer { name, rate, burst } in &self.shape.customers {
+            let customer = CustomerSettings { rate: *rate, burst: *burst, weight: 1 };
             let key = Key {
                 id: format!("{name}-1").into(),
                 customer: name.as_str().into(),
--- a/crates/bench/src/score.rs
+++ b/crates/bench/src/score.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     caller::{Outcome, TimedOutcome},
-    fleet::{Fleet, Tenant},
+    fleet::{Customer, Fleet},
     workload::Arrival,
 };
 
@@ -61,17 +61,17 @@
 
 impl Score {
     /// Computes the scores of a run.
-    pub fn of(records: &[Record], fleet: &Fleet, tenants: &[Tenant]) -> Self {
-        let in_rate = in_rate_counts(records, tenants);
+    pub fn of(records: &[Record], fleet: &Fleet, customers: &[Customer]) -> Self {
+        let in_rate = in_rate_counts(records, customers);
         let in_rate_total: usize = in_rate.iter().sum::<usize>().max(1);
-        let within_targets = count_by_tenant(records, tenants, is_within_targets);
-        let correct = count_by_tenant(records, tenants, is_correct);
+        let within_targets = count_by_customer(records, customers, is_within_targets);
+        let correct = count_by_customer(records, customers, is_correct);
         let fractions = |counts: &[usize]| -> Vec<f64> {
             counts.iter().zip(&in_rate).map(|(n, of)| (*n as f64 / (*of).max(1) as f64).min(1.0)).collect()
         };
         let within: usize = within_targets.iter().zip(&in_rate).map(|(n, of)| (*n).min(*of)).sum();
         let completed = fractions(&correct);
-        let wrongful_by_code = wrongful_refusals(records, tenants);
+        let wrongful_by_code = wrongful_refusals(records, customers);
         let (first_token, gap) = histograms(records);
         Self {
             offered: records.len(),
@@ -81,15 +81,15 @@
             worst_customer: completed.iter().copied().fold(1.0, f64::min),
             wrongful_refusals: wrongful_by_code.values().sum::<usize>() as f64 / in_rate_total as f64,
             wrongful_by_code,
-            over_limit: over_limit(records, tenants),
+            over_limit: over_limit(records, customers),
             violations: records.iter().filter(|record| is_violation(record)).count(),
             first_token,
             gap,
             codes: codes(records),
-            completed: tenants
+            completed: customers
                 .iter()
                 .zip(completed)
-                .map(|(tenant, fraction)| (tenant.name.clone(), round(fraction)))
+                .map(|(customer, fraction)| (customer.name.clone(), round(fraction)))
                 .collect(),
         }
     }
@@ -123,13 +123,13 @@
 /// order of arrival.
 ///
 /// Only the number counts: a policy may serve other requests of a customer than the bucket admits.
-fn in_rate_counts(records: &[Record], tenants: &[Tenant]) -> Vec<usize> {
-    let mut buckets = full_buckets(tenants);
-    let mut counts = vec![0; tenants.len()];
+fn in_rate_counts(records: &[Record], customers: &[Customer]) -> Vec<usize> {
+    let mut buckets = full_buckets(customers);
+    let mut counts = vec![0; customers.len()];
     for record in records {
-        let tenant = record.arrival.tenant;
-        let taken = buckets[tenant].take(arrival_time(&record.arrival), record.arrival.cost());
-        counts[tenant] += usize::from(taken.is_some());
+        let customer = record.arrival.customer;
+        let taken = buckets[customer].take(arrival_time(&record.arrival), record.arrival.cost());
+        counts[customer] += usize::from(taken.is_some());
     }
     counts
 }
@@ -137,11 +137,11 @@
 /// Counts refusals of requests for which the customer's token bucket had enough tokens at arrival. The
 /// bucket is charged for each served request and also for each wrongful refusal, so that the same
 /// tokens do not count as refused twice.
-fn wrongful_refusals(records: &[Record], tenants: &[Tenant]) -> BTreeMap<String, usize> {
-    let mut accounts: Vec<Account> = tenants.iter().map(Account::full).collect();
+fn wrongful_refusals(records: &[Record], customers: &[Customer]) -> BTreeMap<String, usize> {
+    let mut accounts: Vec<Account> = customers.iter().map(Account::full).collect();
     let mut wrongful = BTreeMap::new();
     for record in records {
-        let account = &mut accounts[record.arrival.tenant];
+        let account = &mut accounts[record.arrival.customer];
         account.refill(record.arrival.at.as_secs_f64());
         let cost = record.arrival.cost() as f64;
         if let Outcome::Refused(refused) = &record.timed.outcome {
@@ -166,8 +166,13 @@
 }
 
 impl Account {
-    fn full(tenant: &Tenant) -> Self {
-        Self { rate: tenant.rate as f64, burst: tenant.burst as f64, level: tenant.burst as f64, at: 0.0 }
+    fn full(customer: &Customer) -> Self {
+        Self {
+            rate: customer.rate as f64,
+            burst: customer.burst as f64,
+            level: customer.burst as f64,
+            at: 0.0,
+        }
     }
 
     fn refill(&mut self, now: f64) {
@@ -176,13 +181,17 @@
     }
 }
 
-fn full_buckets(tenants: &[Tenant]) -> Vec<Bucket> {
-    tenants.iter().map(|tenant| Bucket::full(tenant.rate, tenant.burst, Time::ZERO)).collect()
+fn full_buckets(customers: &[Customer]) -> Vec<Bucket> {
+    customers.iter().map(|customer| Bucket::full(customer.rate, customer.burst, Time::ZERO)).collect()
 }
 
-fn count_by_tenant(records: &[Record], tenants: &[Tenant], predicate: fn(&Record) -> bool) -> Vec<usize> {
-    let mut counts = vec![0; tenants.len()];
-    records.iter().filter(|record| predicate(record)).for_each(|record| counts[record.arrival.tenant] += 1);
+fn count_by_customer(
+    records: &[Record],
+    customers: &[Customer],
+    predicate: fn(&Record) -> bool,
+) -> Vec<usize> {
+    let mut counts = vec![0; customers.len()];
+    records.iter().filter(|record| predicate(record)).for_each(|record| counts[record.arrival.customer] += 1);
     counts
 }
 
@@ -221,16 +230,16 @@
 }
 
 /// Returns the largest excess of served tokens over rate and burst in any time window.
-fn over_limit(records: &[Record], tenants: &[Tenant]) -> u64 {
-    let over = tenants.iter().enumerate().map(|(number, tenant)| {
-        let own = records.iter().filter(|record| record.arrival.tenant == number);
+fn over_limit(records: &[Record], customers: &[Customer]) -> u64 {
+    let over = customers.iter().enumerate().map(|(number, customer)| {
+        let own = records.iter().filter(|record| record.arrival.customer == number);
         let served: Vec<(f64, f64)> =
             own.map(|record| (record.arrival.at.as_secs_f64(), served_tokens(record))).collect();
-        let allowed = tenant.burst as f64 + tenant.rate as f64 * RATE_WAIT.as_secs_f64();
+        let allowed = customer.burst as f64 + customer.rate as f64 * RATE_WAIT.as_secs_f64();
         // Kadane's algorithm: the maximum over all windows of tokens served minus tokens refilled.
         let (mut best, mut sum, mut last) = (0.0_f64, 0.0_f64, 0.0);
         for (at, tokens) in served {
-            sum = (sum - (at - last) * tenant.rate as f64).max(0.0) + tokens;
+            sum = (sum - (at - last) * customer.rate as f64).max(0.0) + tokens;
             (best, last) = (best.max(sum), at);
         }
         (best - allowed).max(0.0)
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     caller::Completion,
-    fleet::{MODEL, Shape, Tenant},
+    fleet::{Customer, MODEL, Shape},
     sim::{decode, prefill},
 };
 
@@ -27,7 +27,7 @@
 /// Share of the fleet's capacity that each customer has contracted.
 const CAPACITY_SHARES: [f64; 5] = [0.36, 0.26, 0.18, 0.13, 0.07];
 /// Index of the customer that periodically exceeds its rate.
-const BURSTY_TENANT: usize = 2;
+const BURSTY_CUSTOMER: usize = 2;
 /// Load of the bursty customer during a burst, relative to its usual load.
 const BURST_FACTOR: f64 = 5.0;
 /// Duration of a burst and of the pause between two bursts.
@@ -37,7 +37,7 @@
 /// Burst limit of a customer, in seconds of its rate.
 const BUCKET_SECS: f64 = 6.0;
 /// Number of documents per customer that serve as a shared prompt prefix.
-const DOCUMENTS_PER_TENANT: u64 = 6;
+const DOCUMENTS_PER_CUSTOMER: u64 = 6;
 /// Length of the prompt prefix.
 const PREFIX_BYTES: usize = 2_200;
 
@@ -85,9 +85,9 @@
     pub fn shape(self, policy: Policy) -> Shape {
         let mix = self.mix();
         let rate = mix.capacity * mean_cost(mix);
-        let tenants = CAPACITY_SHARES.iter().enumerate().map(|(number, share)| {
+        let customers = CAPACITY_SHARES.iter().enumerate().map(|(number, share)| {
             let rate = rate * share;
-            Tenant::new(&tenant_name(number), rate as u64, (rate * BUCKET_SECS) as u64)
+            Customer::new(&customer_name(number), rate as u64, (rate * BUCKET_SECS) as u64)
         });
         Shape {
             entries: 3,
@@ -95,7 +95,7 @@
             decode: mix.engines.1,
             plain: 3,
             zones: 3,
-            tenants: tenants.collect(),
+            customers: customers.collect(),
             policy,
             prefill_profile: prefill::Profile::default(),
             decode_profile: decode::Profile::default(),
@@ -104,7 +104,7 @@
     }
 }
 
-fn tenant_name(number: usize) -> String {
+fn customer_name(number: usize) -> String {
     format!("customer-{number}")
 }
 
@@ -120,7 +120,7 @@
     /// Arrival time since the start of the run.
     pub at: Duration,
     /// Index of the customer.
-    pub tenant: usize,
+    pub customer: usize,
     /// Name of the customer.
     pub name: String,
     /// Index of the entry that the load balancer chooses.
@@ -147,7 +147,7 @@
         let steady_rate = mix.capacity * share * STEADY_UTILIZATION * load;
         let mut at = Duration::ZERO;
         loop {
-            let current_rate = if number == BURSTY_TENANT && is_bursting(at) {
+            let current_rate = if number == BURSTY_CUSTOMER && is_bursting(at) {
                 steady_rate * BURST_FACTOR
             } else {
                 steady_rate
@@ -170,7 +170,7 @@
 fn arrival(rng: &mut ChaCha8Rng, mix: Mix, number: usize, at: Duration) -> Arrival {
     let spread: f64 = rng.random_range(-1.0..1.0);
     let prompt_tokens = ((mix.prompt.0 * spread.exp()) as u32).min(mix.prompt.1);
-    let document = rng.random_range(0..DOCUMENTS_PER_TENANT);
+    let document = rng.random_range(0..DOCUMENTS_PER_CUSTOMER);
     let mut prompt = format!("customer {number} document {document} ");
     while prompt.len() < PREFIX_BYTES {
         prompt.push_str("as filed before ");
@@ -183,7 +183,7 @@
     }
     let max_tokens = rng.random_range(mix.max_tokens.0..=mix.max_tokens.1);
     let completion = Completion { model: MODEL.to_owned(), prompt, max_tokens, stream: true };
-    Arrival { at, tenant: number, name: tenant_name(number), entry: rng.random_range(0..3), completion }
+    Arrival { at, customer: number, name: customer_name(number), entry: rng.random_range(0..3), completion }
 }
 
 /// Parses the name of a deployment.
--- a/crates/bench/tests/path.rs
+++ b/crates/bench/tests/path.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use tarragonhill_bench::{
     caller::{Caller, Completion, Outcome, Refusal},
-    fleet::{Fleet, MODEL, SERVICE, Shape, Tenant, key_of},
+    fleet::{Customer, Fleet, MODEL, SERVICE, Shape, key_of},
     sim::{DECODE_POISON, POISON, prefill},
 };
 use tarragonhill_core::{
@@ -23,10 +23,10 @@
 fn shape() -> Shape {
     Shape {
         prefill_profile: prefill::Profile { tokens_per_s: 1_000_000, ..prefill::Profile::default() },
-        tenants: vec![
-            Tenant::new("faculty", 500_000, 1_000_000),
-            Tenant::new("grants", 1_000, 1_000),
-            Tenant::new("poor", 1, 1),
+        customers: vec![
+            Customer::new("faculty", 500_000, 1_000_000),
+            Customer::new("grants", 1_000, 1_000),
+            Customer::new("poor", 1, 1),
         ],
         ..Shape::small()
     }
@@ -36,8 +36,8 @@
     Completion { model: MODEL.into(), prompt: prompt.into(), max_tokens, stream }
 }
 
-fn caller(fleet: &Fleet, entry: usize, tenant: &str) -> Caller {
-    Caller::new(fleet.entry(entry).address(), key_of(tenant))
+fn caller(fleet: &Fleet, entry: usize, customer: &str) -> Caller {
+    Caller::new(fleet.entry(entry).address(), key_of(customer))
 }
 
 async fn wait_until<F: Future<Output = bool>>(condition: impl Fn() -> F) -> bool {
