--- a/crates/bench/src/check/invariant.rs
+++ b/crates/bench/src/check/invariant.rs
@@ -10,7 +10,7 @@
 
 /// Time within which a withdrawn key, a drain or new settings must be in force everywhere.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(8);
-/// Maximum time that an entry holds a request for rate tokens, with a margin.
+/// Maximum time for which an entry queues a request that lacks rate tokens, plus a margin.
 const RATE_WAIT_SECS: f64 = 0.4;
 
 /// Property that must hold in every run.
@@ -82,6 +82,7 @@
     foreign.or_else(|| history.confirmations.iter().find_map(|confirmation| late_use(history, confirmation)))
 }
 
+/// Describes a request that was served too long after its key was withdrawn.
 fn late_use(history: &History, confirmation: &Confirmation) -> Option<String> {
     let Change::Withdrawn(customer) = &confirmation.change else { return None };
     let late_call = history.calls.iter().find(|call| {
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -182,7 +182,7 @@
             let entry = fleet.start_entry(number).await?;
             fleet.entries.push(Some(entry));
         }
-        fleet.wait_ready().await?;
+        fleet.wait_until_ready().await?;
         Ok(fleet)
     }
 
@@ -287,11 +287,11 @@
         rows
     }
 
-    async fn wait_ready(&self) -> Result<(), FleetError> {
+    async fn wait_until_ready(&self) -> Result<(), FleetError> {
         let began = std::time::Instant::now();
-        let links = self.agents.len();
+        let expected_links = self.agents.len();
         while began.elapsed() < READY_TIMEOUT {
-            if self.is_ready(links).await {
+            if self.is_ready(expected_links).await {
                 return Ok(());
             }
             task::sleep(Duration::from_millis(50)).await;
@@ -299,11 +299,14 @@
         Err(FleetError::NotReady)
     }
 
-    async fn is_ready(&self, links: usize) -> bool {
+    async fn is_ready(&self, expected_links: usize) -> bool {
         let mut homes = 0;
         for entry in self.entries.iter().flatten() {
             let Some(dump) = fetch_dump(entry.admin()).await else { return false };
-            if dump["serving"] != true || dump["links"]["up"] != links || dump["lease_renewed"] != true {
+            if dump["serving"] != true
+                || dump["links"]["up"] != expected_links
+                || dump["lease_renewed"] != true
+            {
                 return false;
             }
             homes += dump["homes"].as_u64().unwrap_or(0);
--- a/crates/bench/src/score.rs
+++ b/crates/bench/src/score.rs
@@ -1,5 +1,5 @@
-//! Scores of a benchmark run: goodput, wasted prefill work, fairness between customers, and counts of
-//! violations, which must be zero.
+//! Scores of a benchmark run: goodput, wasted prefill work, fairness between customers, and the
+//! number of wrong answers and of tokens served over a rate limit, both of which must be zero.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -17,7 +17,7 @@
 pub const TTFT_TARGET: Duration = Duration::from_millis(900);
 /// Target for the 95th percentile of the time between tokens.
 pub const GAP_TARGET: Duration = Duration::from_millis(54);
-/// Maximum time that an entry holds a request for rate tokens, with a margin.
+/// Maximum time for which an entry queues a request that lacks rate tokens, plus a margin.
 const RATE_WAIT: Duration = Duration::from_millis(350);
 
 /// Request with its outcome.
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -1,5 +1,5 @@
-//! Synthetic load for two deployments. Customers have rates of different size, and one of them
-//! periodically exceeds its rate several times over.
+//! Synthetic load for two deployments. Customers have different rates, and one of them periodically
+//! exceeds its rate several times over.
 
 use std::{str::FromStr, time::Duration};
 
--- a/crates/bench/tests/configuration.rs
+++ b/crates/bench/tests/configuration.rs
@@ -156,8 +156,8 @@
 fn digests_report_spending_at_a_site_with_many_customers() {
     task::block_on(async {
         let mut site = Site::empty().await.expect("the site starts");
-        let other = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
-        let address = other.local_addr().expect("an address");
+        let peer_socket = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
+        let address = peer_socket.local_addr().expect("an address");
         site.store.put("entries", "other", &json!({"address": address.to_string()}));
         site.configure(&with_customers(1, CUSTOMER_COUNT));
         site.add_endpoint(Role::Plain).await.expect("an endpoint");
@@ -169,7 +169,7 @@
         let mut bytes = vec![0; 65_536];
         loop {
             let received =
-                timeout(DIGEST_TIMEOUT, other.recv_from(&mut bytes)).await.expect("a digest in time");
+                timeout(DIGEST_TIMEOUT, peer_socket.recv_from(&mut bytes)).await.expect("a digest in time");
             let (length, _) = received.expect("a datagram");
             let digest = proto::Digest::decode(&bytes[..length]).expect("a digest");
             if digest.spending.iter().any(|spending| spending.customer == "small" && spending.spent == 200) {
--- a/crates/bench/tests/path.rs
+++ b/crates/bench/tests/path.rs
@@ -118,7 +118,7 @@
                 "bad_request",
             ),
         ] {
-            let answer = raw(address, request.as_bytes()).await;
+            let answer = send_raw(address, request.as_bytes()).await;
             let start: String = request.chars().take(90).collect();
             assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{start:?}: {answer}");
             assert!(answer.contains(code) && answer.contains(r#""not_run":true"#), "{start:?}: {answer}");
@@ -129,7 +129,7 @@
 }
 
 /// Sends raw bytes and reads the response up to the end of its JSON body.
-async fn raw(address: std::net::SocketAddr, bytes: &[u8]) -> String {
+async fn send_raw(address: std::net::SocketAddr, bytes: &[u8]) -> String {
     let mut stream = async_std::net::TcpStream::connect(address).await.expect("connects");
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
