--- a/crates/bench/src/check/run.rs
+++ b/crates/bench/src/check/run.rs
@@ -353,7 +353,7 @@
         history.limits.insert(customer.into(), CUSTOMER_LIMITS);
     }
     for service in &fleet.plain {
-        for execution in service.log() {
+        for execution in service.executions() {
             history.is_key_exposed |= execution.has_authorization;
             history.executed.insert(execution.request);
             history.submissions.entry(execution.idempotency_key).or_default().push(execution.customer);
--- a/crates/bench/src/cmd/demo.rs
+++ b/crates/bench/src/cmd/demo.rs
@@ -167,7 +167,7 @@
     let body = json!({ "grant": "G-7", "pages": 12 });
     let one = first.call("POST", &path, &body, Some("submission-G-7")).await;
     let two = second.call("POST", &path, &body, Some("submission-G-7")).await;
-    let runs: u32 = fleet.plain.iter().map(|service| service.executions().values().sum::<u32>()).sum();
+    let runs: u32 = fleet.plain.iter().map(|service| service.execution_counts().values().sum::<u32>()).sum();
     println!("  answers {:?} and {:?}, executed {runs} time(s)", status_of(&one), status_of(&two));
     let is_same = matches!((&one, &two), (Ok(one), Ok(two)) if one == two && one.0 == 200);
     tally.record("submissions executed once", is_same && runs == 1, true);
--- a/crates/bench/src/sim/plain.rs
+++ b/crates/bench/src/sim/plain.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns how often each call was executed, by idempotency key.
-    pub fn executions(&self) -> BTreeMap<String, u32> {
+    pub fn execution_counts(&self) -> BTreeMap<String, u32> {
         let mut counts = BTreeMap::new();
         for execution in lock(&self.executions).iter() {
             *counts.entry(execution.idempotency_key.clone()).or_insert(0) += 1;
@@ -76,7 +76,7 @@
     }
 
     /// Returns all executions, in order.
-    pub fn log(&self) -> Vec<Execution> {
+    pub fn executions(&self) -> Vec<Execution> {
         lock(&self.executions).clone()
     }
 }
--- a/crates/bench/tests/path.rs
+++ b/crates/bench/tests/path.rs
@@ -210,7 +210,7 @@
         fleet.plain.iter().for_each(|service| service.faults.set_loss_rate(0));
         let (status, body) = submit(1).await;
         assert_eq!((status, body["error"]["code"].as_str()), (502, Some("outcome_unknown")));
-        let executed: u32 = fleet.plain.iter().flat_map(|s| s.executions().into_values()).sum();
+        let executed: u32 = fleet.plain.iter().flat_map(|s| s.execution_counts().into_values()).sum();
         assert_eq!(executed, 1);
         fleet.stop().await;
     });
@@ -238,7 +238,7 @@
         assert!(refused_count > 0, "the call was never refused");
         task::sleep(delay).await;
         assert_eq!(submit().await.expect("an answer").0, 200);
-        let executed: u32 = fleet.plain.iter().flat_map(|s| s.executions().into_values()).sum();
+        let executed: u32 = fleet.plain.iter().flat_map(|s| s.execution_counts().into_values()).sum();
         assert_eq!(executed, 1);
         fleet.stop().await;
     });
@@ -256,7 +256,7 @@
             (status, &body["error"]["code"], &body["error"]["not_run"]),
             (503, &json!("record_unavailable"), &json!(true))
         );
-        assert!(fleet.plain.iter().all(|service| service.executions().is_empty()));
+        assert!(fleet.plain.iter().all(|service| service.execution_counts().is_empty()));
         fleet.table.faults.set_down(false);
         let (status, _) = caller.call("POST", &path, &json!({}), Some("s-2")).await.expect("an answer");
         assert_eq!(status, 200);
