--- a/crates/bench/src/cmd/demo.rs
+++ b/crates/bench/src/cmd/demo.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     caller::{Caller, Completion, Outcome, TimedOutcome},
-    fleet::{Fleet, FleetError, MODEL, SERVICE, Shape, Tenant, key_of},
+    fleet::{Customer, Fleet, FleetError, MODEL, SERVICE, Shape, key_of},
 };
 
 /// Maximum wait for an expected condition.
@@ -53,7 +53,7 @@
 pub async fn execute() -> Result<bool, FleetError> {
     let began = Instant::now();
     let mut shape = Shape::small();
-    shape.tenants.push(Tenant::new("members", 2_000, 3_000));
+    shape.customers.push(Customer::new("members", 2_000, 3_000));
     println!("starting 3 entries, 7 agents and simulated servers ...");
     let fleet = Fleet::start(shape).await?;
     println!("ready after {} ms", began.elapsed().as_millis());
@@ -92,19 +92,20 @@
     println!("24 requests of two customers through all entries:");
     let mut tasks = Vec::new();
     for number in 0..24_usize {
-        let tenant = ["faculty", "grants"][number % 2];
-        let caller = Caller::new(fleet.entry(number % fleet.entries.len()).address(), key_of(tenant));
-        let prompt = format!("evidence summary {number} for {tenant}: {}", "text ".repeat(200 + number * 40));
+        let customer = ["faculty", "grants"][number % 2];
+        let caller = Caller::new(fleet.entry(number % fleet.entries.len()).address(), key_of(customer));
+        let prompt =
+            format!("evidence summary {number} for {customer}: {}", "text ".repeat(200 + number * 40));
         let request = completion(prompt, 40, number % 3 != 0);
         tasks.push(task::spawn(async move {
             let timed = caller.complete(&request).await;
-            (tenant, timed.is_correct(&request), timed)
+            (customer, timed.is_correct(&request), timed)
         }));
     }
     for (number, task) in tasks.into_iter().enumerate() {
-        let (tenant, is_correct, timed) = task.await;
+        let (customer, is_correct, timed) = task.await;
         if number % 6 == 0 || !is_correct {
-            print_outcome(tenant, &timed);
+            print_outcome(customer, &timed);
         }
         tally.record(
             "mixed requests answered correctly",
@@ -166,11 +167,11 @@
     let body = json!({ "grant": "G-7", "pages": 12 });
     let one = first.call("POST", &path, &body, Some("submission-G-7")).await;
     let two = second.call("POST", &path, &body, Some("submission-G-7")).await;
-    let runs: u32 = fleet.plain.iter().map(|service| service.executions().values().sum::<u32>()).sum();
+    let runs: u32 = fleet.plain.iter().map(|service| service.execution_counts().values().sum::<u32>()).sum();
     println!("  answers {:?} and {:?}, executed {runs} time(s)", status_of(&one), status_of(&two));
-    let same = matches!((&one, &two), (Ok(one), Ok(two)) if one == two && one.0 == 200);
-    tally.record("submissions executed once", same && runs == 1, true);
-    tally.record("submissions executed once", same && runs == 1, true);
+    let is_same = matches!((&one, &two), (Ok(one), Ok(two)) if one == two && one.0 == 200);
+    tally.record("submissions executed once", is_same && runs == 1, true);
+    tally.record("submissions executed once", is_same && runs == 1, true);
 }
 
 fn status_of(answer: &Result<(u16, serde_json::Value), tarragonhill_http::client::Error>) -> Option<u16> {
--- a/crates/bench/tests/path.rs
+++ b/crates/bench/tests/path.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use tarragonhill_bench::{
     caller::{Caller, Completion, Outcome, Refusal},
-    fleet::{Fleet, MODEL, SERVICE, Shape, Tenant, key_of},
+    fleet::{Customer, Fleet, MODEL, SERVICE, Shape, key_of},
     sim::{DECODE_POISON, POISON, prefill},
 };
 use tarragonhill_core::{
@@ -23,10 +23,10 @@
 fn shape() -> Shape {
     Shape {
         prefill_profile: prefill::Profile { tokens_per_s: 1_000_000, ..prefill::Profile::default() },
-        tenants: vec![
-            Tenant::new("faculty", 500_000, 1_000_000),
-            Tenant::new("grants", 1_000, 1_000),
-            Tenant::new("poor", 1, 1),
+        customers: vec![
+            Customer::new("faculty", 500_000, 1_000_000),
+            Customer::new("grants", 1_000, 1_000),
+            Customer::new("poor", 1, 1),
         ],
         ..Shape::small()
     }
@@ -36,8 +36,8 @@
     Completion { model: MODEL.into(), prompt: prompt.into(), max_tokens, stream }
 }
 
-fn caller(fleet: &Fleet, entry: usize, tenant: &str) -> Caller {
-    Caller::new(fleet.entry(entry).address(), key_of(tenant))
+fn caller(fleet: &Fleet, entry: usize, customer: &str) -> Caller {
+    Caller::new(fleet.entry(entry).address(), key_of(customer))
 }
 
 async fn wait_until<F: Future<Output = bool>>(condition: impl Fn() -> F) -> bool {
@@ -118,7 +118,7 @@
                 "bad_request",
             ),
         ] {
-            let answer = raw(address, request.as_bytes()).await;
+            let answer = send_raw(address, request.as_bytes()).await;
             let start: String = request.chars().take(90).collect();
             assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{start:?}: {answer}");
             assert!(answer.contains(code) && answer.contains(r#""not_run":true"#), "{start:?}: {answer}");
@@ -129,7 +129,7 @@
 }
 
 /// Sends raw bytes and reads the response up to the end of its JSON body.
-async fn raw(address: std::net::SocketAddr, bytes: &[u8]) -> String {
+async fn send_raw(address: std::net::SocketAddr, bytes: &[u8]) -> String {
     let mut stream = async_std::net::TcpStream::connect(address).await.expect("connects");
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
@@ -210,7 +210,7 @@
         fleet.plain.iter().for_each(|service| service.faults.set_loss_rate(0));
         let (status, body) = submit(1).await;
         assert_eq!((status, body["error"]["code"].as_str()), (502, Some("outcome_unknown")));
-        let executed: u32 = fleet.plain.iter().flat_map(|s| s.executions().into_values()).sum();
+        let executed: u32 = fleet.plain.iter().flat_map(|s| s.execution_counts().into_values()).sum();
         assert_eq!(executed, 1);
         fleet.stop().await;
     });
@@ -238,7 +238,7 @@
         assert!(refused_count > 0, "the call was never refused");
         task::sleep(delay).await;
         assert_eq!(submit().await.expect("an answer").0, 200);
-        let executed: u32 = fleet.plain.iter().flat_map(|s| s.executions().into_values()).sum();
+        let executed: u32 = fleet.plain.iter().flat_map(|s| s.execution_counts().into_values()).sum();
         assert_eq!(executed, 1);
         fleet.stop().await;
     });
@@ -256,7 +256,7 @@
             (status, &body["error"]["code"], &body["error"]["not_run"]),
             (503, &json!("record_unavailable"), &json!(true))
         );
-        assert!(fleet.plain.iter().all(|service| service.executions().is_empty()));
+        assert!(fleet.plain.iter().all(|service| service.execution_counts().is_empty()));
         fleet.table.faults.set_down(false);
         let (status, _) = caller.call("POST", &path, &json!({}), Some("s-2")).await.expect("an answer");
         assert_eq!(status, 200);
@@ -372,8 +372,8 @@
         let first = clients[0].plan(&put(5_000)).await.expect("a plan");
         let second = clients[1].plan(&put(6_000)).await.expect("a plan");
         assert_eq!(clients[0].confirm(&first).await, Ok(2));
-        let lost = clients[1].confirm(&second).await;
-        assert!(matches!(lost, Err(OperatorError::Refused { code, .. }) if code == "moved"));
+        let refused = clients[1].confirm(&second).await;
+        assert!(matches!(refused, Err(OperatorError::Refused { code, .. }) if code == "moved"));
         let settings = clients[0].settings().await.expect("settings");
         assert_eq!(settings["customers"]["grants"]["burst"], 5_000);
         assert_eq!(clients[1].resolve(&first.plan.id).await.expect("known")["outcome"], "confirmed");
@@ -437,11 +437,11 @@
         let planned =
             client.plan(&Intent::DrainHost { host: "host-prefill-0".into() }).await.expect("a plan");
         client.confirm(&planned).await.expect("confirmed");
-        let is_everywhere = || async {
+        let is_in_force_everywhere = || async {
             let known = client.resolve(&planned.plan.id).await;
             known.is_ok_and(|known| known["not_in_force_at"] == json!([]))
         };
-        assert!(wait_until(is_everywhere).await);
+        assert!(wait_until(is_in_force_everywhere).await);
         let before = fleet.prefill[0].starts.all().len();
         for number in 0..9 {
             let request = completion(&format!("after the drain {number}"), 2, false);
