--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -114,11 +114,11 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Path(path) => write!(f, "invalid path {path:?}"),
+            Self::Path(path) => write!(f, "{path:?} is not a path"),
             Self::Connect(reason) => write!(f, "cannot connect: {reason}"),
             Self::Connection(reason) => write!(f, "connection broke: {reason}"),
             Self::Timeout => f.write_str("no answer in time"),
-            Self::Unexpected(reason) => write!(f, "unexpected response: {reason}"),
+            Self::Unexpected(reason) => write!(f, "unexpected answer: {reason}"),
         }
     }
 }
