--- a/crates/bench/src/standin/decode.rs
+++ b/crates/bench/src/standin/decode.rs
@@ -14,7 +14,7 @@
 use tarragonhill_engine::protocol::{Decode, Export, Line};
 use tarragonhill_http::{
     Sender,
-    client::{Call, Pool},
+    client::{Pool, Request},
     server::{Inbound, Outbound},
 };
 
@@ -217,7 +217,7 @@
 
 async fn import(running: &Running, work: &Decode) -> Option<Export> {
     let address = work.source.parse().ok()?;
-    let call = Call::get(format!("/export/{}", work.kv));
+    let call = Request::get(format!("/export/{}", work.kv));
     let answer = running.pool.send(address, call, IMPORT).await.ok()?;
     if answer.status() != 200 {
         let _ = answer.bytes().await;
--- a/crates/daemon/src/entry/caller.rs
+++ b/crates/daemon/src/entry/caller.rs
@@ -57,7 +57,7 @@
         BodyError::TooLarge => {
             Refusal::not_run(Code::BodyTooLarge, "the body is larger than this entry takes")
         }
-        BodyError::Slow => Refusal::not_run(Code::SlowRequest, "the body came too slowly"),
+        BodyError::Timeout => Refusal::not_run(Code::SlowRequest, "the body came too slowly"),
         BodyError::Broken => Refusal::not_run(Code::BadRequest, "the body could not be read"),
     }
 }
--- a/crates/daemon/src/entry/stages/complete.rs
+++ b/crates/daemon/src/entry/stages/complete.rs
@@ -34,7 +34,7 @@
     }
     let output = Output::whole(context, ticket.request, ticket.arrived);
     let gone = async {
-        watch.gone().await;
+        watch.disconnected().await;
         Err(Some(caller_left()))
     };
     let outbound = serve(context, ticket, &completion, output).or(gone).await;
@@ -59,7 +59,7 @@
         let _inside = inside;
         let output = Output::stream(&context, ticket.request, ticket.arrived, head);
         let gone = async {
-            watch.gone().await;
+            watch.disconnected().await;
             Err(Some(caller_left()))
         };
         if let Err(Some(refusal)) = serve(&context, ticket, &completion, output).or(gone).await {
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -92,7 +92,7 @@
 
     async fn run_prefill(&self, work: &Work, prompt: Arc<str>) -> Outcome {
         let body = Prefill { id: work.attempt.to_string(), prompt, prompt_tokens: work.prompt_tokens };
-        let call = client::Call::post("/prefill", &body).over_kept();
+        let call = client::Request::post("/prefill", &body).allow_reuse();
         let answer = match self.pool.send(self.address, call, WORK_TIMEOUT).await {
             Ok(answer) if answer.status() == 200 => answer.json::<Prefilled>().await,
             Ok(_) => return Outcome::Failed(Breakage::Failed),
@@ -109,7 +109,7 @@
     }
 
     async fn run_decode(&self, body: &Decode, sink: &dyn Sink) -> Result<Outcome, client::Error> {
-        let call = client::Call::post("/decode", body).over_kept();
+        let call = client::Request::post("/decode", body).allow_reuse();
         let mut answer = self.pool.send(self.address, call, IMPORT_TIMEOUT).await?;
         if answer.status() != 200 {
             return Ok(Outcome::Failed(Breakage::Failed));
@@ -129,7 +129,7 @@
                 Line::Token { index, text } => sink.token(index, text).await,
                 Line::End { total } => {
                     if timeout(CONTROL_TIMEOUT, answer.line()).await == Ok(Ok(None)) {
-                        answer.keep();
+                        answer.release();
                     }
                     return Ok(Outcome::Decoded { total });
                 }
@@ -138,13 +138,13 @@
     }
 
     async fn run_call(&self, work: &Work, call: &Call) -> Outcome {
-        let Some(mut request) = client::Call::raw(&call.method, &*call.path, call.body.clone()) else {
+        let Some(mut request) = client::Request::raw(&call.method, &*call.path, call.body.clone()) else {
             return Outcome::Failed(Breakage::Failed);
         };
         request = request.header("x-request-id", work.attempt.request.to_string());
         request = request.header("x-customer", &*work.customer);
         if call.idempotency_key.is_empty() {
-            request = request.over_kept();
+            request = request.allow_reuse();
         } else {
             request = request.header("idempotency-key", &*call.idempotency_key);
         }
@@ -204,9 +204,9 @@
     fn cancel<'a>(&'a self, id: &'a str) -> Working<'a, ()> {
         Box::pin(async move {
             for _ in 0..CANCELS {
-                let call = client::Call::delete(format!("/work/{id}"));
+                let call = client::Request::delete(format!("/work/{id}"));
                 if let Ok(answer) = self.pool.send(self.address, call, CONTROL_TIMEOUT).await {
-                    answer.keep();
+                    answer.release();
                     return;
                 }
             }
@@ -220,7 +220,7 @@
             fence: endpoint.generation,
         };
         Box::pin(async move {
-            let call = client::Call::post("/serve", &order).over_kept();
+            let call = client::Request::post("/serve", &order).allow_reuse();
             let answer = self.pool.send(self.address, call, CONTROL_TIMEOUT).await;
             match answer.map(|answer| answer.status()) {
                 Ok(200..=299) => Ok(()),
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -10,7 +10,7 @@
 
 use async_std::{future::timeout, net::TcpStream};
 use futures_lite::{AsyncBufReadExt as _, AsyncReadExt as _, future};
-use http_types::{Body, Method, Request, Response, Url};
+use http_types::{Body, Method, Request as HttpRequest, Response as HttpResponse, Url};
 
 use crate::server::prepare;
 
@@ -25,17 +25,17 @@
 
 /// A request to be sent.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct Request {
     method: Method,
     path: String,
     headers: Vec<(&'static str, String)>,
     body: Vec<u8>,
     /// Whether it may go over a kept connection. One that the peer closes at that moment leaves it
     /// open whether the request arrived, so calls that may not be repeated take a fresh one.
-    kept: bool,
+    may_reuse: bool,
 }
 
-impl Call {
+impl Request {
     /// A GET of a path, over a kept connection if there is one.
     pub fn get(path: impl Into<String>) -> Self {
         Self::new(Method::Get, path, Vec::new(), true)
@@ -57,8 +57,8 @@
         Some(Self::new(method.parse().ok()?, path, body, false))
     }
 
-    fn new(method: Method, path: impl Into<String>, body: Vec<u8>, kept: bool) -> Self {
-        Self { method, path: path.into(), headers: Vec::new(), body, kept }
+    fn new(method: Method, path: impl Into<String>, body: Vec<u8>, may_reuse: bool) -> Self {
+        Self { method, path: path.into(), headers: Vec::new(), body, may_reuse }
     }
 
     /// The same request with one more header.
@@ -68,15 +68,15 @@
     }
 
     /// The same request, which may go over a kept connection.
-    pub fn over_kept(mut self) -> Self {
-        self.kept = true;
+    pub fn allow_reuse(mut self) -> Self {
+        self.may_reuse = true;
         self
     }
 
-    fn request(&self, address: SocketAddr) -> Result<Request, Error> {
+    fn to_http(&self, address: SocketAddr) -> Result<HttpRequest, Error> {
         let url = Url::parse(&format!("http://{address}{}", self.path))
             .map_err(|_| Error::Path(self.path.clone()))?;
-        let mut request = Request::new(self.method, url);
+        let mut request = HttpRequest::new(self.method, url);
         if !self.body.is_empty() {
             request.set_body(Body::from_bytes(self.body.clone()));
             request.insert_header("content-type", "application/json");
@@ -125,14 +125,14 @@
 impl std::error::Error for Error {}
 
 /// An answer whose head has arrived.
-pub struct Answer<'a> {
-    response: Response,
+pub struct Response<'a> {
+    response: HttpResponse,
     pool: &'a Pool,
     address: SocketAddr,
     stream: TcpStream,
 }
 
-impl Answer<'_> {
+impl Response<'_> {
     /// The HTTP status.
     pub fn status(&self) -> u16 {
         self.response.status().into()
@@ -163,7 +163,7 @@
                 read => bytes.extend_from_slice(&piece[..read]),
             }
         }
-        self.keep();
+        self.release();
         Ok(bytes)
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// Keeps the connection after the body has been read to its end.
-    pub fn keep(self) {
+    pub fn release(self) {
         let closes = self
             .response
             .header("connection")
@@ -193,21 +193,26 @@
 
 impl Pool {
     /// Sends a request and waits for the answer's head, `limit` at most.
-    pub async fn send(&self, address: SocketAddr, call: Call, limit: Duration) -> Result<Answer<'_>, Error> {
-        let sent = timeout(limit, self.exchange(address, &call));
+    pub async fn send(
+        &self,
+        address: SocketAddr,
+        request: Request,
+        limit: Duration,
+    ) -> Result<Response<'_>, Error> {
+        let sent = timeout(limit, self.exchange(address, &request));
         sent.await.unwrap_or(Err(Error::Timeout))
     }
 
-    async fn exchange(&self, address: SocketAddr, call: &Call) -> Result<Answer<'_>, Error> {
-        let kept = if call.kept { self.take(address).await } else { None };
+    async fn exchange(&self, address: SocketAddr, request: &Request) -> Result<Response<'_>, Error> {
+        let kept = if request.may_reuse { self.take(address).await } else { None };
         let stream = match kept {
             Some(stream) => stream,
             None => connect(address).await?,
         };
-        let request = call.request(address)?;
-        let response = async_h1::connect(stream.clone(), request).await;
+        let http_request = request.to_http(address)?;
+        let response = async_h1::connect(stream.clone(), http_request).await;
         let response = response.map_err(|error| Error::Broken(error.to_string()))?;
-        Ok(Answer { response, pool: self, address, stream })
+        Ok(Response { response, pool: self, address, stream })
     }
 
     /// A kept connection that the peer has not closed meanwhile.
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -3,13 +3,13 @@
 //!
 //! ```no_run
 //! use std::time::Duration;
-//! use tarragonhill_http::{client::{Call, Pool}, server::{Limits, Outbound, Server}};
+//! use tarragonhill_http::{client::{Pool, Request}, server::{Limits, Outbound, Server}};
 //!
 //! # async fn example() -> std::io::Result<()> {
 //! let server = Server::bind("127.0.0.1:0", Limits::default()).await?;
 //! let address = server.address();
 //! async_std::task::spawn(server.serve(|inbound| async move { Outbound::text(200, inbound.path) }));
-//! let answer = Pool::default().send(address, Call::get("/hello"), Duration::from_secs(1)).await;
+//! let answer = Pool::default().send(address, Request::get("/hello"), Duration::from_secs(1)).await;
 //! # Ok(())
 //! # }
 //! ```
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -39,22 +39,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Largest body, bytes.
-    pub body: usize,
+    pub max_body: usize,
     /// Longest time for a request's head, and for an idle connection.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest time for a request's body.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// Most connections at once; more are closed on arrival.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            body: 4 << 20,
-            head_time: Duration::from_secs(10),
-            body_time: Duration::from_secs(10),
-            connections: 4_096,
+            max_body: 4 << 20,
+            head_timeout: Duration::from_secs(10),
+            body_timeout: Duration::from_secs(10),
+            max_connections: 4_096,
         }
     }
 }
@@ -80,7 +80,7 @@
     /// It is larger than the limit.
     TooLarge,
     /// It came too slowly.
-    Slow,
+    Timeout,
     /// The connection broke or the framing is wrong.
     Broken,
 }
@@ -104,7 +104,7 @@
 impl Watch {
     /// Completes once the peer has closed the connection. async-h1 does not read while a response
     /// is being made, so a look at the socket's next byte disturbs nothing.
-    pub async fn gone(&self) {
+    pub async fn disconnected(&self) {
         let mut byte = [0];
         match self.0.peek(&mut byte).await {
             Ok(0) | Err(_) => {}
@@ -271,7 +271,7 @@
                 continue;
             };
             let closing = self.closing.clone();
-            if closing.open.fetch_add(1, Ordering::Relaxed) >= self.limits.connections {
+            if closing.open.fetch_add(1, Ordering::Relaxed) >= self.limits.max_connections {
                 closing.open.fetch_sub(1, Ordering::Relaxed);
                 continue;
             }
@@ -327,12 +327,12 @@
         let idle = async {
             closing.begun().await;
             // Whoever has only just connected is about to send; whoever has been answered is not.
-            let grace = if answered { CLOSE_GRACE } else { limits.head_time };
+            let grace = if answered { CLOSE_GRACE } else { limits.head_timeout };
             unless_started(grace, &started).await;
             Next::Closed
         };
         let overdue = async {
-            unless_started(limits.head_time, &started).await;
+            unless_started(limits.head_timeout, &started).await;
             Next::Overdue
         };
         match one.or(overdue).or(idle).await {
@@ -404,15 +404,15 @@
 }
 
 async fn read_body(request: &mut Request, limits: Limits) -> Result<Vec<u8>, BodyError> {
-    if request.len().is_some_and(|length| length > limits.body) {
+    if request.len().is_some_and(|length| length > limits.max_body) {
         return Err(BodyError::TooLarge);
     }
     let mut bytes = Vec::new();
-    let mut reader = request.take_body().take(limits.body as u64 + 1);
-    match future::timeout(limits.body_time, reader.read_to_end(&mut bytes)).await {
-        Err(_) => Err(BodyError::Slow),
+    let mut reader = request.take_body().take(limits.max_body as u64 + 1);
+    match future::timeout(limits.body_timeout, reader.read_to_end(&mut bytes)).await {
+        Err(_) => Err(BodyError::Timeout),
         Ok(Err(_)) => Err(BodyError::Broken),
-        Ok(Ok(_)) if bytes.len() > limits.body => Err(BodyError::TooLarge),
+        Ok(Ok(_)) if bytes.len() > limits.max_body => Err(BodyError::TooLarge),
         Ok(Ok(_)) => Ok(bytes),
     }
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use tarragonhill_core::plan::{Intent, Plan};
-use tarragonhill_http::client::{Call, Error, Pool};
+use tarragonhill_http::client::{Error, Pool, Request};
 
 /// Longest wait for an entry's answer; above the entry's own wait for the table.
 const TIMEOUT: Duration = Duration::from_secs(10);
@@ -84,7 +84,7 @@
         Self { address, token, pool: Pool::default() }
     }
 
-    async fn ask(&self, call: Call) -> Result<Value, OperatorError> {
+    async fn ask(&self, call: Request) -> Result<Value, OperatorError> {
         let call = match &self.token {
             Some(token) => call.header("authorization", format!("Bearer {token}")),
             None => call,
@@ -101,29 +101,29 @@
 
     /// Works an intent out; nothing changes.
     pub async fn plan(&self, intent: &Intent) -> Result<Planned, OperatorError> {
-        let body = self.ask(Call::post("/plan", intent)).await?;
+        let body = self.ask(Request::post("/plan", intent)).await?;
         serde_json::from_value(body).map_err(|error| Error::Unexpected(error.to_string()).into())
     }
 
     /// Puts a plan in force; the settings version it made.
     pub async fn confirm(&self, planned: &Planned) -> Result<u64, OperatorError> {
-        let body = self.ask(Call::post("/confirm", planned)).await?;
+        let body = self.ask(Request::post("/confirm", planned)).await?;
         Ok(body["version"].as_u64().unwrap_or(0))
     }
 
     /// Tells what became of a plan whose confirm had no answer.
     pub async fn resolve(&self, plan: &str) -> Result<Value, OperatorError> {
-        self.ask(Call::get(format!("/plans/{plan}"))).await
+        self.ask(Request::get(format!("/plans/{plan}"))).await
     }
 
     /// The settings in force at the entry.
     pub async fn settings(&self) -> Result<Value, OperatorError> {
-        self.ask(Call::get("/settings")).await
+        self.ask(Request::get("/settings")).await
     }
 
     /// The state of a daemon.
     pub async fn dump(&self) -> Result<Value, OperatorError> {
-        self.ask(Call::get("/dump")).await
+        self.ask(Request::get("/dump")).await
     }
 }
 
--- a/crates/table/src/hosts.rs
+++ b/crates/table/src/hosts.rs
@@ -3,7 +3,7 @@
 use std::{future::Future, net::SocketAddr, pin::Pin, time::Duration};
 
 use serde::{Deserialize, Serialize};
-use tarragonhill_http::client::{Call, Error, Pool};
+use tarragonhill_http::client::{Error, Pool, Request};
 
 /// Longest wait for the list.
 const TIMEOUT: Duration = Duration::from_secs(2);
@@ -55,7 +55,7 @@
 impl Hosts for HttpHosts {
     fn hosts(&self) -> Listing<'_> {
         Box::pin(
-            async move { self.pool.send(self.address, Call::get("/hosts"), TIMEOUT).await?.json().await },
+            async move { self.pool.send(self.address, Request::get("/hosts"), TIMEOUT).await?.json().await },
         )
     }
 }
--- a/crates/table/src/http.rs
+++ b/crates/table/src/http.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use serde::Deserialize;
-use tarragonhill_http::client::{Answer, Call, Error, Pool};
+use tarragonhill_http::client::{Error, Pool, Request, Response};
 
 use crate::table::{Pending, Row, Rows, Table, TableError, Transaction};
 
@@ -33,7 +33,7 @@
         Self { address, pool: Pool::default() }
     }
 
-    async fn ask(&self, call: Call) -> Result<Answer<'_>, TableError> {
+    async fn ask(&self, call: Request) -> Result<Response<'_>, TableError> {
         self.pool.send(self.address, call, TIMEOUT).await.map_err(TableError::from)
     }
 }
@@ -58,7 +58,7 @@
 impl Table for HttpTable {
     fn get<'a>(&'a self, key: &'a str) -> Pending<'a, Option<Row>> {
         Box::pin(async move {
-            let answer = self.ask(Call::get(format!("/rows/{key}"))).await?;
+            let answer = self.ask(Request::get(format!("/rows/{key}"))).await?;
             match answer.status() {
                 200 => Ok(Some(answer.json().await?)),
                 404 => {
@@ -72,7 +72,7 @@
 
     fn list<'a>(&'a self, prefix: &'a str, after: u64) -> Pending<'a, Rows> {
         Box::pin(async move {
-            let answer = self.ask(Call::get(format!("/list?prefix={prefix}&after={after}"))).await?;
+            let answer = self.ask(Request::get(format!("/list?prefix={prefix}&after={after}"))).await?;
             match answer.status() {
                 200 => Ok(answer.json().await?),
                 status => Err(refused(status)),
@@ -82,7 +82,7 @@
 
     fn commit<'a>(&'a self, transaction: &'a Transaction) -> Pending<'a, u64> {
         Box::pin(async move {
-            let answer = self.ask(Call::post("/commit", transaction)).await?;
+            let answer = self.ask(Request::post("/commit", transaction)).await?;
             match answer.status() {
                 200 => Ok(answer.json::<Committed>().await?.version),
                 409 => Err(TableError::Conflict(answer.json::<Conflict>().await?.key)),
