--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -50,12 +50,12 @@
 }
 
 /// Work on its way.
-pub type Working<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+pub type EngineFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// An engine or plain service as its agent drives it.
 pub trait Engine: Send + Sync {
     /// Runs a prefill.
-    fn prefill<'a>(&'a self, work: &'a Work, prompt: Arc<str>) -> Working<'a, Outcome>;
+    fn prefill<'a>(&'a self, work: &'a Work, prompt: Arc<str>) -> EngineFuture<'a, Outcome>;
 
     /// Imports a result and streams its tokens into `sink`.
     fn decode<'a>(
@@ -65,16 +65,16 @@
         kv: Arc<str>,
         from_index: u32,
         sink: &'a dyn Sink,
-    ) -> Working<'a, Outcome>;
+    ) -> EngineFuture<'a, Outcome>;
 
     /// Calls a plain service, exactly once.
-    fn call<'a>(&'a self, work: &'a Work, call: &'a Call) -> Working<'a, Outcome>;
+    fn call<'a>(&'a self, work: &'a Work, call: &'a Call) -> EngineFuture<'a, Outcome>;
 
     /// Has the engine let go of an attempt's work and memory; completes when it has.
-    fn cancel<'a>(&'a self, id: &'a str) -> Working<'a, ()>;
+    fn cancel<'a>(&'a self, id: &'a str) -> EngineFuture<'a, ()>;
 
     /// Orders another role or model.
-    fn serve<'a>(&'a self, endpoint: &'a Endpoint) -> Working<'a, Result<(), EngineError>>;
+    fn serve<'a>(&'a self, endpoint: &'a Endpoint) -> EngineFuture<'a, Result<(), EngineError>>;
 }
 
 /// An engine that speaks the protocol of `docs/protocol-engine.md`.
@@ -169,7 +169,7 @@
 }
 
 impl Engine for HttpEngine {
-    fn prefill<'a>(&'a self, work: &'a Work, prompt: Arc<str>) -> Working<'a, Outcome> {
+    fn prefill<'a>(&'a self, work: &'a Work, prompt: Arc<str>) -> EngineFuture<'a, Outcome> {
         Box::pin(self.run_prefill(work, prompt))
     }
 
@@ -180,7 +180,7 @@
         kv: Arc<str>,
         from_index: u32,
         sink: &'a dyn Sink,
-    ) -> Working<'a, Outcome> {
+    ) -> EngineFuture<'a, Outcome> {
         let body = Decode {
             id: work.attempt.to_string(),
             source,
@@ -197,11 +197,11 @@
         })
     }
 
-    fn call<'a>(&'a self, work: &'a Work, call: &'a Call) -> Working<'a, Outcome> {
+    fn call<'a>(&'a self, work: &'a Work, call: &'a Call) -> EngineFuture<'a, Outcome> {
         Box::pin(self.run_call(work, call))
     }
 
-    fn cancel<'a>(&'a self, id: &'a str) -> Working<'a, ()> {
+    fn cancel<'a>(&'a self, id: &'a str) -> EngineFuture<'a, ()> {
         Box::pin(async move {
             for _ in 0..CANCELS {
                 let call = client::Call::delete(format!("/work/{id}"));
@@ -213,7 +213,7 @@
         })
     }
 
-    fn serve<'a>(&'a self, endpoint: &'a Endpoint) -> Working<'a, Result<(), EngineError>> {
+    fn serve<'a>(&'a self, endpoint: &'a Endpoint) -> EngineFuture<'a, Result<(), EngineError>> {
         let order = Serve {
             role: endpoint.role.to_string(),
             serves: endpoint.serves.clone(),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -6,4 +6,4 @@
 mod client;
 pub mod protocol;
 
-pub use client::{Engine, EngineError, HttpEngine, Sink, Working};
+pub use client::{Engine, EngineError, EngineFuture, HttpEngine, Sink};
--- a/crates/table/src/hosts.rs
+++ b/crates/table/src/hosts.rs
@@ -30,12 +30,12 @@
 }
 
 /// A listing on its way.
-pub type Listing<'a> = Pin<Box<dyn Future<Output = Result<Vec<Host>, Error>> + Send + 'a>>;
+pub type HostsFuture<'a> = Pin<Box<dyn Future<Output = Result<Vec<Host>, Error>> + Send + 'a>>;
 
 /// Where the list comes from.
 pub trait Hosts: Send + Sync {
     /// The list as the platform has it now.
-    fn hosts(&self) -> Listing<'_>;
+    fn hosts(&self) -> HostsFuture<'_>;
 }
 
 /// The list over HTTP.
@@ -53,7 +53,7 @@
 }
 
 impl Hosts for HttpHosts {
-    fn hosts(&self) -> Listing<'_> {
+    fn hosts(&self) -> HostsFuture<'_> {
         Box::pin(
             async move { self.pool.send(self.address, Call::get("/hosts"), TIMEOUT).await?.json().await },
         )
--- a/crates/table/src/http.rs
+++ b/crates/table/src/http.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use tarragonhill_http::client::{Answer, Call, Error, Pool};
 
-use crate::table::{Pending, Row, Rows, Table, TableError, Transaction};
+use crate::table::{Row, Rows, Table, TableError, TableFuture, Transaction};
 
 /// Longest wait for the table's answer.
 const TIMEOUT: Duration = Duration::from_secs(2);
@@ -56,7 +56,7 @@
 }
 
 impl Table for HttpTable {
-    fn get<'a>(&'a self, key: &'a str) -> Pending<'a, Option<Row>> {
+    fn get<'a>(&'a self, key: &'a str) -> TableFuture<'a, Option<Row>> {
         Box::pin(async move {
             let answer = self.ask(Call::get(format!("/rows/{key}"))).await?;
             match answer.status() {
@@ -70,7 +70,7 @@
         })
     }
 
-    fn list<'a>(&'a self, prefix: &'a str, after: u64) -> Pending<'a, Rows> {
+    fn list<'a>(&'a self, prefix: &'a str, after: u64) -> TableFuture<'a, Rows> {
         Box::pin(async move {
             let answer = self.ask(Call::get(format!("/list?prefix={prefix}&after={after}"))).await?;
             match answer.status() {
@@ -80,7 +80,7 @@
         })
     }
 
-    fn commit<'a>(&'a self, transaction: &'a Transaction) -> Pending<'a, u64> {
+    fn commit<'a>(&'a self, transaction: &'a Transaction) -> TableFuture<'a, u64> {
         Box::pin(async move {
             let answer = self.ask(Call::post("/commit", transaction)).await?;
             match answer.status() {
--- a/crates/table/src/table.rs
+++ b/crates/table/src/table.rs
@@ -68,16 +68,16 @@
 impl std::error::Error for TableError {}
 
 /// A future that a trait object can return.
-pub type Pending<'a, T> = Pin<Box<dyn Future<Output = Result<T, TableError>> + Send + 'a>>;
+pub type TableFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, TableError>> + Send + 'a>>;
 
 /// The table service. Implementations never repeat a write on their own.
 pub trait Table: Send + Sync {
     /// Reads one row; `None` if there is none.
-    fn get<'a>(&'a self, key: &'a str) -> Pending<'a, Option<Row>>;
+    fn get<'a>(&'a self, key: &'a str) -> TableFuture<'a, Option<Row>>;
 
     /// Lists rows whose key starts with `prefix` and that changed after version `after`.
-    fn list<'a>(&'a self, prefix: &'a str, after: u64) -> Pending<'a, Rows>;
+    fn list<'a>(&'a self, prefix: &'a str, after: u64) -> TableFuture<'a, Rows>;
 
     /// Writes; returns the version of the transaction.
-    fn commit<'a>(&'a self, transaction: &'a Transaction) -> Pending<'a, u64>;
+    fn commit<'a>(&'a self, transaction: &'a Transaction) -> TableFuture<'a, u64>;
 }
