--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -1,4 +1,4 @@
-//! The trait of all engines, and its implementation over HTTP.
+//! The [`Engine`] trait and its implementation over HTTP.
 
 use std::{fmt, future::Future, net::SocketAddr, pin::Pin, sync::Arc, time::Duration};
 
@@ -12,52 +12,53 @@
 
 use crate::protocol::{Decode, Line, Prefill, Prefilled, Serve};
 
-/// Longest time for a prefill or a plain call.
+/// Timeout of a prefill or a plain call.
 const WORK_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest time for the import of a prefill result: longer ones are stalled.
+/// Timeout of the import of a KV cache.
 const IMPORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest silence between two tokens. The connection may have gone silent for good.
+/// Maximum time between two tokens. Detects connections that stay open but no longer deliver data.
 const TOKEN_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time for a cancel or an order.
+/// Timeout of a cancellation or a serve order, and of the end of a token stream.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Times a cancel is tried before the engine is taken for dead.
-const CANCELS: u32 = 3;
+/// Maximum number of attempts to cancel work.
+const CANCEL_ATTEMPTS: u32 = 3;
 
-/// Why an order to an engine was not carried out.
+/// Failure of a serve order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineError {
-    /// The engine has seen a higher fencing number.
+    /// The engine has received an order with a higher fencing number.
     Fenced,
-    /// It could not be reached, or answered with an error.
+    /// The engine could not be reached, or returned an error.
     Failed(String),
 }
 
 impl fmt::Display for EngineError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Fenced => f.write_str("engine has seen a newer order"),
-            Self::Failed(why) => write!(f, "order failed: {why}"),
+            Self::Fenced => f.write_str("engine has received a newer order"),
+            Self::Failed(reason) => write!(f, "request failed: {reason}"),
         }
     }
 }
 
 impl std::error::Error for EngineError {}
 
-/// Takes tokens as they come: first index and texts.
+/// Receiver of generated tokens.
 pub trait Sink: Send + Sync {
-    /// Takes one token; completes when there is room for the next.
+    /// Accepts the token at `index`; completes when the sink can accept the next one.
     fn token(&self, index: u32, text: Arc<str>) -> Pin<Box<dyn Future<Output = ()> + Send + '_>>;
 }
 
-/// Work on its way.
+/// Future returned by [`Engine`].
 pub type EngineFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// An engine or plain service as its agent drives it.
+/// An engine or plain service.
 pub trait Engine: Send + Sync {
     /// Runs a prefill.
     fn prefill<'a>(&'a self, work: &'a Work, prompt: Arc<str>) -> EngineFuture<'a, Outcome>;
 
-    /// Imports a result and streams its tokens into `sink`.
+    /// Imports the KV cache `kv` from the engine at `source` and streams tokens into `sink`, starting at
+    /// `from_index`.
     fn decode<'a>(
         &'a self,
         work: &'a Work,
@@ -67,17 +68,18 @@
         sink: &'a dyn Sink,
     ) -> EngineFuture<'a, Outcome>;
 
-    /// Calls a plain service, exactly once.
+    /// Calls a plain service. Implementations must not retry.
     fn call<'a>(&'a self, work: &'a Work, call: &'a Call) -> EngineFuture<'a, Outcome>;
 
-    /// Has the engine let go of an attempt's work and memory; completes when it has.
+    /// Cancels work by its identifier and frees its memory. Completes when the engine has confirmed it, or
+    /// after a limited number of attempts.
     fn cancel<'a>(&'a self, id: &'a str) -> EngineFuture<'a, ()>;
 
-    /// Orders another role or model.
+    /// Orders the engine to change its role or model.
     fn serve<'a>(&'a self, endpoint: &'a Endpoint) -> EngineFuture<'a, Result<(), EngineError>>;
 }
 
-/// An engine that speaks the protocol of `docs/protocol-engine.md`.
+/// Client for the HTTP protocol of `docs/protocol-engine.md`.
 #[derive(Debug)]
 pub struct HttpEngine {
     address: SocketAddr,
@@ -85,7 +87,7 @@
 }
 
 impl HttpEngine {
-    /// A client of the engine at `address`.
+    /// Creates a client of the engine at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, pool: Pool::default() }
     }
@@ -99,10 +101,10 @@
             Err(error) => Err(error),
         };
         match answer {
-            Ok(done) => Outcome::Prefilled {
+            Ok(prefilled) => Outcome::Prefilled {
                 source: self.address.to_string().into(),
-                kv: done.kv,
-                ttl: Duration::from_millis(done.lives_ms),
+                kv: prefilled.kv,
+                ttl: Duration::from_millis(prefilled.lives_ms),
             },
             Err(error) => Outcome::Failed(failure_cause(&error)),
         }
@@ -203,7 +205,7 @@
 
     fn cancel<'a>(&'a self, id: &'a str) -> EngineFuture<'a, ()> {
         Box::pin(async move {
-            for _ in 0..CANCELS {
+            for _ in 0..CANCEL_ATTEMPTS {
                 let call = client::Call::delete(format!("/work/{id}"));
                 if let Ok(answer) = self.pool.send(self.address, call, CONTROL_TIMEOUT).await {
                     answer.keep();
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,7 @@
-//! Clients of what stands behind agents: prefill engines, decode engines and plain services.
+//! Clients that agents use to call prefill engines, decode engines and plain services.
 //!
-//! [`Engine`] is an edge: a client for another protocol fits behind the same trait. The protocol
-//! assumed here is written down in `docs/protocol-engine.md`.
+//! Other protocols can be supported by implementing [`Engine`]. The HTTP protocol is described in
+//! `docs/protocol-engine.md`.
 
 mod client;
 pub mod protocol;
--- a/crates/engine/src/protocol.rs
+++ b/crates/engine/src/protocol.rs
@@ -1,89 +1,89 @@
-//! Bodies of the requests and answers that engines understand.
+//! JSON bodies of the requests to engines and of their responses.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// `POST /prefill`: turn a prompt into KV cache.
+/// Request body of `POST /prefill`, which computes the KV cache of a prompt.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Prefill {
-    /// Names the work; also names it when it is cancelled.
+    /// Identifier of the work, also used to cancel it.
     pub id: String,
     /// The prompt.
     pub prompt: Arc<str>,
-    /// Its length, tokens.
+    /// Length of the prompt, tokens.
     pub prompt_tokens: u32,
 }
 
-/// Answer to [`Prefill`].
+/// Response to [`Prefill`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Prefilled {
-    /// Names the result.
+    /// Identifier of the KV cache on this engine.
     pub kv: Arc<str>,
-    /// How long the result is kept, milliseconds.
+    /// Time until the engine may evict the KV cache, milliseconds.
     pub lives_ms: u64,
 }
 
-/// `POST /decode`: import a result and stream its tokens.
+/// Request body of `POST /decode`, which imports a KV cache and streams the generated tokens.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Decode {
-    /// Names the work; also names it when it is cancelled.
+    /// Identifier of the work, also used to cancel it.
     pub id: String,
-    /// Address of the engine that exports the result.
+    /// Address of the engine that holds the KV cache.
     pub source: Arc<str>,
-    /// Names the result there.
+    /// Identifier of the KV cache on that engine.
     pub kv: Arc<str>,
-    /// Most tokens wanted, counted from index zero.
+    /// Maximum number of tokens, counted from index zero.
     pub max_tokens: u32,
-    /// Index of the first token wanted.
+    /// Index of the first token to return.
     pub from_index: u32,
     /// Length of the prompt, tokens.
     pub prompt_tokens: u32,
 }
 
-/// One line of the answer to [`Decode`].
+/// A line of the response to [`Decode`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Line {
-    /// The result has been imported; decoding begins.
+    /// The KV cache has been imported; decoding begins.
     Imported,
-    /// The result was gone at its source.
+    /// The source no longer holds the KV cache.
     Evicted,
-    /// No memory was free for the import.
+    /// Not enough memory was free for the import.
     Full,
-    /// A token.
+    /// A generated token.
     Token {
-        /// Its index.
+        /// Position in the output, from zero.
         index: u32,
-        /// Its text.
+        /// Text of the token.
         text: Arc<str>,
     },
-    /// The answer is whole.
+    /// The output is complete.
     End {
-        /// How many tokens it has.
+        /// Number of tokens in the output, counted from index zero.
         total: u32,
     },
 }
 
-/// `GET /export/KV`: what one engine gives another.
+/// Response to `GET /export/KV`, with which one engine imports a KV cache from another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Export {
-    /// Digest that stands for the cache's content.
+    /// Digest of the content of the KV cache.
     pub content: u64,
     /// Length of the prompt, tokens.
     pub prompt_tokens: u32,
 }
 
-/// `POST /serve`: load a model or change role.
+/// Request body of `POST /serve`, which loads a model or changes the role.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Serve {
-    /// Role wanted.
+    /// Role to change to.
     pub role: String,
-    /// Model wanted.
+    /// Model to load.
     pub serves: Arc<str>,
-    /// Fencing number; engines that check refuse one that is lower than the last.
+    /// Fencing number. Engines that check it refuse orders with a lower number than the last one.
     pub fence: u64,
 }
--- a/crates/table/src/hosts.rs
+++ b/crates/table/src/hosts.rs
@@ -1,44 +1,44 @@
-//! The platform's list of live and leaving hosts. It lags, so it only ever speeds things up.
+//! The platform's list of hosts. It lags behind, so it may only speed up the detection of lost hosts.
 
 use std::{future::Future, net::SocketAddr, pin::Pin, time::Duration};
 
 use serde::{Deserialize, Serialize};
 use tarragonhill_http::client::{Call, Error, Pool};
 
-/// Longest wait for the list.
+/// Timeout of a request for the list.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the platform says of a host.
+/// State of a host, as reported by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// It runs.
+    /// The host is running.
     Live,
-    /// It is being taken away; its endpoints should get no new work.
+    /// The host is being removed; its endpoints should get no new work.
     Leaving,
-    /// It runs no more.
+    /// The host has stopped.
     Gone,
 }
 
-/// One host of the list.
+/// A host in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
     /// Name of the host.
     pub name: String,
-    /// What the platform says of it.
+    /// State reported by the platform.
     pub state: HostState,
 }
 
-/// A listing on its way.
+/// Future returned by [`Hosts`].
 pub type HostsFuture<'a> = Pin<Box<dyn Future<Output = Result<Vec<Host>, Error>> + Send + 'a>>;
 
-/// Where the list comes from.
+/// A source of the list of hosts.
 pub trait Hosts: Send + Sync {
-    /// The list as the platform has it now.
+    /// Fetches the current list.
     fn hosts(&self) -> HostsFuture<'_>;
 }
 
-/// The list over HTTP.
+/// Client that fetches the list over HTTP.
 #[derive(Debug)]
 pub struct HttpHosts {
     address: SocketAddr,
@@ -46,7 +46,7 @@
 }
 
 impl HttpHosts {
-    /// A client of the service at `address`.
+    /// Creates a client of the service at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, pool: Pool::default() }
     }
--- a/crates/table/src/http.rs
+++ b/crates/table/src/http.rs
@@ -1,4 +1,4 @@
-//! The table over HTTP and JSON.
+//! Client of the table service over HTTP and JSON.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,10 +7,10 @@
 
 use crate::table::{Row, Rows, Table, TableError, TableFuture, Transaction};
 
-/// Longest wait for the table's answer.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A client of the table service.
+/// Client of the table service.
 #[derive(Debug)]
 pub struct HttpTable {
     address: SocketAddr,
@@ -28,12 +28,12 @@
 }
 
 impl HttpTable {
-    /// A client of the service at `address`.
+    /// Creates a client of the service at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, pool: Pool::default() }
     }
 
-    async fn ask(&self, call: Call) -> Result<Answer<'_>, TableError> {
+    async fn send(&self, call: Call) -> Result<Answer<'_>, TableError> {
         self.pool.send(self.address, call, TIMEOUT).await.map_err(TableError::from)
     }
 }
@@ -47,9 +47,9 @@
     }
 }
 
-fn refused(status: u16) -> TableError {
+fn status_error(status: u16) -> TableError {
     match status {
-        // The service says so only before it does anything.
+        // The service returns these only if it has not executed the request.
         429 | 503 => TableError::Unavailable(format!("status {status}")),
         _ => TableError::Unknown(format!("status {status}")),
     }
@@ -58,35 +58,35 @@
 impl Table for HttpTable {
     fn get<'a>(&'a self, key: &'a str) -> TableFuture<'a, Option<Row>> {
         Box::pin(async move {
-            let answer = self.ask(Call::get(format!("/rows/{key}"))).await?;
+            let answer = self.send(Call::get(format!("/rows/{key}"))).await?;
             match answer.status() {
                 200 => Ok(Some(answer.json().await?)),
                 404 => {
                     answer.bytes().await?;
                     Ok(None)
                 }
-                status => Err(refused(status)),
+                status => Err(status_error(status)),
             }
         })
     }
 
     fn list<'a>(&'a self, prefix: &'a str, after: u64) -> TableFuture<'a, Rows> {
         Box::pin(async move {
-            let answer = self.ask(Call::get(format!("/list?prefix={prefix}&after={after}"))).await?;
+            let answer = self.send(Call::get(format!("/list?prefix={prefix}&after={after}"))).await?;
             match answer.status() {
                 200 => Ok(answer.json().await?),
-                status => Err(refused(status)),
+                status => Err(status_error(status)),
             }
         })
     }
 
     fn commit<'a>(&'a self, transaction: &'a Transaction) -> TableFuture<'a, u64> {
         Box::pin(async move {
-            let answer = self.ask(Call::post("/commit", transaction)).await?;
+            let answer = self.send(Call::post("/commit", transaction)).await?;
             match answer.status() {
                 200 => Ok(answer.json::<Committed>().await?.version),
                 409 => Err(TableError::Conflict(answer.json::<Conflict>().await?.key)),
-                status => Err(refused(status)),
+                status => Err(status_error(status)),
             }
         })
     }
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the platform gives: a transactional table and a lagging list of hosts, over HTTP.
+//! Clients of the platform's services: the transactional table and the list of hosts, over HTTP.
 //!
-//! [`Table`] is an edge: a client for another protocol fits behind the same trait. The protocol
-//! assumed here is written down in `docs/protocol-platform.md`.
+//! Other protocols can be supported by implementing [`Table`] and [`Hosts`]. The HTTP protocol is described
+//! in `docs/protocol-platform.md`.
 
 mod hosts;
 mod http;
--- a/crates/table/src/table.rs
+++ b/crates/table/src/table.rs
@@ -1,57 +1,57 @@
-//! The transactional table service as the router needs it.
+//! Interface of the transactional table service.
 
 use std::{fmt, future::Future, pin::Pin};
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// One stored row.
+/// A stored row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Table key.
+    /// Key of the row.
     pub key: String,
-    /// Goes up with every change of any row; compare against it. Zero stands for "no such row".
+    /// Table version at the row's last change. Each change of any row increases the table version. Zero means
+    /// that the row does not exist.
     pub version: u64,
-    /// The value; null if the row was deleted.
+    /// Value; null if the row was deleted.
     pub value: Option<Value>,
 }
 
-/// Rows listed, and where the listing stands.
+/// Result of [`Table::list`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Rows {
-    /// Rows changed after the version asked for, deleted ones included.
+    /// Rows changed after the requested version, including deleted ones.
     pub rows: Vec<Row>,
-    /// Newest version the listing covers; ask for changes after it next time.
+    /// Newest table version that the listing covers; the next listing can start after it.
     pub version: u64,
 }
 
-/// One write of a transaction.
+/// A write of a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Write {
-    /// Table key.
+    /// Key of the row.
     pub key: String,
-    /// Version that must stand there, zero for none; `None` writes whatever stands there.
+    /// Version that the row must have, zero if it must not exist. `None` writes unconditionally.
     pub expected: Option<u64>,
-    /// The new value; null deletes.
+    /// New value; null deletes the row.
     pub value: Option<Value>,
 }
 
-/// Writes that take effect all together or not at all.
+/// Writes that are applied atomically.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
     /// The writes.
     pub writes: Vec<Write>,
 }
 
-/// Why a call of the table failed.
+/// Failure of a table operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TableError {
-    /// Another version stands where one was expected; nothing was written.
+    /// The row with this key does not have the expected version; nothing was written.
     Conflict(String),
-    /// Nothing was written, or nothing could be read: the service is down, limits the rate or
-    /// could not be reached.
+    /// The operation was not executed: the service is down, unreachable or limits the rate.
     Unavailable(String),
-    /// The answer was lost; a write may have taken effect, now or later.
+    /// The outcome is unknown: a write may have taken effect, or may still take effect.
     Unknown(String),
 }
 
@@ -59,25 +59,25 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Conflict(key) => write!(f, "another version of row {key:?} stands there"),
-            Self::Unavailable(why) => write!(f, "table unavailable: {why}"),
-            Self::Unknown(why) => write!(f, "table's answer was lost: {why}"),
+            Self::Unavailable(reason) => write!(f, "table unavailable: {reason}"),
+            Self::Unknown(reason) => write!(f, "table's answer was lost: {reason}"),
         }
     }
 }
 
 impl std::error::Error for TableError {}
 
-/// A future that a trait object can return.
+/// Future returned by [`Table`].
 pub type TableFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, TableError>> + Send + 'a>>;
 
-/// The table service. Implementations never repeat a write on their own.
+/// The table service. Implementations must not retry writes.
 pub trait Table: Send + Sync {
-    /// Reads one row; `None` if there is none.
+    /// Reads a row; returns `None` if it does not exist.
     fn get<'a>(&'a self, key: &'a str) -> TableFuture<'a, Option<Row>>;
 
-    /// Lists rows whose key starts with `prefix` and that changed after version `after`.
+    /// Lists the rows whose keys start with `prefix` and that have changed after version `after`.
     fn list<'a>(&'a self, prefix: &'a str, after: u64) -> TableFuture<'a, Rows>;
 
-    /// Writes; returns the version of the transaction.
+    /// Commits a transaction; returns the resulting table version.
     fn commit<'a>(&'a self, transaction: &'a Transaction) -> TableFuture<'a, u64>;
 }
