--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -95,12 +95,12 @@
     async fn run_prefill(&self, work: &Work, prompt: Arc<str>) -> Outcome {
         let body = Prefill { id: work.attempt.to_string(), prompt, prompt_tokens: work.prompt_tokens };
         let call = client::Call::post("/prefill", &body).over_kept();
-        let answer = match self.pool.send(self.address, call, WORK_TIMEOUT).await {
-            Ok(answer) if answer.status() == 200 => answer.json::<Prefilled>().await,
+        let response = match self.pool.send(self.address, call, WORK_TIMEOUT).await {
+            Ok(response) if response.status() == 200 => response.json::<Prefilled>().await,
             Ok(_) => return Outcome::Failed(FailureCause::Failed),
             Err(error) => Err(error),
         };
-        match answer {
+        match response {
             Ok(prefilled) => Outcome::Prefilled {
                 source: self.address.to_string().into(),
                 kv: prefilled.kv,
@@ -112,13 +112,13 @@
 
     async fn run_decode(&self, body: &Decode, sink: &dyn Sink) -> Result<Outcome, client::Error> {
         let call = client::Call::post("/decode", body).over_kept();
-        let mut answer = self.pool.send(self.address, call, IMPORT_TIMEOUT).await?;
-        if answer.status() != 200 {
+        let mut response = self.pool.send(self.address, call, IMPORT_TIMEOUT).await?;
+        if response.status() != 200 {
             return Ok(Outcome::Failed(FailureCause::Failed));
         }
         let mut limit = IMPORT_TIMEOUT;
         loop {
-            let line = timeout(limit, answer.line()).await.unwrap_or(Err(client::Error::Timeout))?;
+            let line = timeout(limit, response.line()).await.unwrap_or(Err(client::Error::Timeout))?;
             let Some(line) = line else {
                 return Ok(Outcome::Failed(FailureCause::Crashed));
             };
@@ -130,8 +130,8 @@
                 Line::Full => return Ok(Outcome::Failed(FailureCause::Failed)),
                 Line::Token { index, text } => sink.token(index, text).await,
                 Line::End { total } => {
-                    if timeout(CONTROL_TIMEOUT, answer.line()).await == Ok(Ok(None)) {
-                        answer.keep();
+                    if timeout(CONTROL_TIMEOUT, response.line()).await == Ok(Ok(None)) {
+                        response.keep();
                     }
                     return Ok(Outcome::Decoded { total });
                 }
@@ -150,12 +150,12 @@
         } else {
             request = request.header("idempotency-key", &*call.idempotency_key);
         }
-        let answer = match self.pool.send(self.address, request, WORK_TIMEOUT).await {
-            Ok(answer) => answer,
+        let response = match self.pool.send(self.address, request, WORK_TIMEOUT).await {
+            Ok(response) => response,
             Err(error) => return Outcome::Failed(failure_cause(&error)),
         };
-        let status = answer.status();
-        match answer.bytes().await {
+        let status = response.status();
+        match response.bytes().await {
             Ok(body) => Outcome::Answered { status, body },
             Err(error) => Outcome::Failed(failure_cause(&error)),
         }
@@ -207,8 +207,8 @@
         Box::pin(async move {
             for _ in 0..CANCEL_ATTEMPTS {
                 let call = client::Call::delete(format!("/work/{id}"));
-                if let Ok(answer) = self.pool.send(self.address, call, CONTROL_TIMEOUT).await {
-                    answer.keep();
+                if let Ok(response) = self.pool.send(self.address, call, CONTROL_TIMEOUT).await {
+                    response.keep();
                     return;
                 }
             }
@@ -223,8 +223,8 @@
         };
         Box::pin(async move {
             let call = client::Call::post("/serve", &order).over_kept();
-            let answer = self.pool.send(self.address, call, CONTROL_TIMEOUT).await;
-            match answer.map(|answer| answer.status()) {
+            let response = self.pool.send(self.address, call, CONTROL_TIMEOUT).await;
+            match response.map(|response| response.status()) {
                 Ok(200..=299) => Ok(()),
                 Ok(409) => Err(EngineError::Fenced),
                 Ok(status) => Err(EngineError::Failed(format!("status {status}"))),
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -92,9 +92,9 @@
             Some(token) => call.header("authorization", format!("Bearer {token}")),
             None => call,
         };
-        let answer = self.pool.send(self.address, call, TIMEOUT).await?;
-        let status = answer.status();
-        let body: Value = answer.json().await?;
+        let response = self.pool.send(self.address, call, TIMEOUT).await?;
+        let status = response.status();
+        let body: Value = response.json().await?;
         if status == 200 {
             return Ok(body);
         }
--- a/crates/table/src/http.rs
+++ b/crates/table/src/http.rs
@@ -58,11 +58,11 @@
 impl Table for HttpTable {
     fn get<'a>(&'a self, key: &'a str) -> TableFuture<'a, Option<Row>> {
         Box::pin(async move {
-            let answer = self.send(Call::get(format!("/rows/{key}"))).await?;
-            match answer.status() {
-                200 => Ok(Some(answer.json().await?)),
+            let response = self.send(Call::get(format!("/rows/{key}"))).await?;
+            match response.status() {
+                200 => Ok(Some(response.json().await?)),
                 404 => {
-                    answer.bytes().await?;
+                    response.bytes().await?;
                     Ok(None)
                 }
                 status => Err(status_error(status)),
@@ -72,9 +72,9 @@
 
     fn list<'a>(&'a self, prefix: &'a str, after: u64) -> TableFuture<'a, Rows> {
         Box::pin(async move {
-            let answer = self.send(Call::get(format!("/list?prefix={prefix}&after={after}"))).await?;
-            match answer.status() {
-                200 => Ok(answer.json().await?),
+            let response = self.send(Call::get(format!("/list?prefix={prefix}&after={after}"))).await?;
+            match response.status() {
+                200 => Ok(response.json().await?),
                 status => Err(status_error(status)),
             }
         })
@@ -82,10 +82,10 @@
 
     fn commit<'a>(&'a self, transaction: &'a Transaction) -> TableFuture<'a, u64> {
         Box::pin(async move {
-            let answer = self.send(Call::post("/commit", transaction)).await?;
-            match answer.status() {
-                200 => Ok(answer.json::<Committed>().await?.version),
-                409 => Err(TableError::Conflict(answer.json::<Conflict>().await?.key)),
+            let response = self.send(Call::post("/commit", transaction)).await?;
+            match response.status() {
+                200 => Ok(response.json::<Committed>().await?.version),
+                409 => Err(TableError::Conflict(response.json::<Conflict>().await?.key)),
                 status => Err(status_error(status)),
             }
         })
