--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -94,8 +94,8 @@
 
     async fn run_prefill(&self, work: &Work, prompt: Arc<str>) -> Outcome {
         let body = Prefill { id: work.attempt.to_string(), prompt, prompt_tokens: work.prompt_tokens };
-        let call = client::Request::post("/prefill", &body).allow_reuse();
-        let response = match self.pool.send(self.address, call, WORK_TIMEOUT).await {
+        let request = client::Request::post("/prefill", &body).allow_reuse();
+        let response = match self.pool.send(self.address, request, WORK_TIMEOUT).await {
             Ok(response) if response.status() == 200 => response.json::<Prefilled>().await,
             Ok(_) => return Outcome::Failed(FailureCause::Failed),
             Err(error) => Err(error),
@@ -111,8 +111,8 @@
     }
 
     async fn run_decode(&self, body: &Decode, sink: &dyn Sink) -> Result<Outcome, client::Error> {
-        let call = client::Request::post("/decode", body).allow_reuse();
-        let mut response = self.pool.send(self.address, call, IMPORT_TIMEOUT).await?;
+        let request = client::Request::post("/decode", body).allow_reuse();
+        let mut response = self.pool.send(self.address, request, IMPORT_TIMEOUT).await?;
         if response.status() != 200 {
             return Ok(Outcome::Failed(FailureCause::Failed));
         }
@@ -206,8 +206,8 @@
     fn cancel<'a>(&'a self, id: &'a str) -> EngineFuture<'a, ()> {
         Box::pin(async move {
             for _ in 0..CANCEL_ATTEMPTS {
-                let call = client::Request::delete(format!("/work/{id}"));
-                if let Ok(response) = self.pool.send(self.address, call, CONTROL_TIMEOUT).await {
+                let request = client::Request::delete(format!("/work/{id}"));
+                if let Ok(response) = self.pool.send(self.address, request, CONTROL_TIMEOUT).await {
                     response.release();
                     return;
                 }
@@ -222,8 +222,8 @@
             fence: endpoint.generation,
         };
         Box::pin(async move {
-            let call = client::Request::post("/serve", &order).allow_reuse();
-            let response = self.pool.send(self.address, call, CONTROL_TIMEOUT).await;
+            let request = client::Request::post("/serve", &order).allow_reuse();
+            let response = self.pool.send(self.address, request, CONTROL_TIMEOUT).await;
             match response.map(|response| response.status()) {
                 Ok(200..=299) => Ok(()),
                 Ok(409) => Err(EngineError::Fenced),
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -87,12 +87,12 @@
         Self { address, token, pool: Pool::default() }
     }
 
-    async fn send(&self, call: Request) -> Result<Value, OperatorError> {
-        let call = match &self.token {
-            Some(token) => call.header("authorization", format!("Bearer {token}")),
-            None => call,
+    async fn send(&self, request: Request) -> Result<Value, OperatorError> {
+        let request = match &self.token {
+            Some(token) => request.header("authorization", format!("Bearer {token}")),
+            None => request,
         };
-        let response = self.pool.send(self.address, call, TIMEOUT).await?;
+        let response = self.pool.send(self.address, request, TIMEOUT).await?;
         let status = response.status();
         let body: Value = response.json().await?;
         if status == 200 {
--- a/crates/table/src/http.rs
+++ b/crates/table/src/http.rs
@@ -33,8 +33,8 @@
         Self { address, pool: Pool::default() }
     }
 
-    async fn send(&self, call: Request) -> Result<Response<'_>, TableError> {
-        self.pool.send(self.address, call, TIMEOUT).await.map_err(TableError::from)
+    async fn send(&self, request: Request) -> Result<Response<'_>, TableError> {
+        self.pool.send(self.address, request, TIMEOUT).await.map_err(TableError::from)
     }
 }
 
--- a/crates/table/src/table.rs
+++ b/crates/table/src/table.rs
@@ -58,7 +58,7 @@
 impl fmt::Display for TableError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Conflict(key) => write!(f, "another version of row {key:?} stands there"),
+            Self::Conflict(key) => write!(f, "row {key:?} has a different version than expected"),
             Self::Unavailable(reason) => write!(f, "table unavailable: {reason}"),
             Self::Unknown(reason) => write!(f, "table's answer was lost: {reason}"),
         }
