--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,14 +1,14 @@
-//! Stand-ins of what the router serves and stands on, callers, load and experiments.
+//! Benchmarks, load generators and fault checks of the router, and the simulated back ends they use.
 //!
-//! Everything runs as tasks of one process over loopback TCP: the daemons' own code, and small
-//! stand-ins that speak the protocols of `docs/protocol-*.md`. Nothing starts a child process.
+//! Everything runs as tasks of one process over loopback TCP: the daemons' own code, and simulated
+//! engines and services that speak the protocols of `docs/protocol-*.md`. No child process is started.
 //!
 //! ```no_run
 //! use tarragonhill_bench::fleet::{Fleet, Shape};
 //!
 //! # async fn example() -> Result<(), tarragonhill_bench::fleet::FleetError> {
 //! let fleet = Fleet::start(Shape::small()).await?;
-//! println!("callers go to {}", fleet.entry(0).address());
+//! println!("send requests to {}", fleet.entry(0).address());
 //! # Ok(())
 //! # }
 //! ```
