--- a/crates/daemon/src/entry/links.rs
+++ b/crates/daemon/src/entry/links.rs
@@ -189,7 +189,7 @@
     }
 
     fn record_heartbeat(&self, agent: &Arc<str>, heartbeat: Heartbeat) {
-        self.0.current.heard(&format!("agent {agent}").into(), &heartbeat);
+        self.0.current.record_heartbeat(&format!("agent {agent}").into(), &heartbeat);
         self.0.control.record_loads(heartbeat.loads);
     }
 
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -1,4 +1,4 @@
-//! The trait of all engines, and its implementation over HTTP.
+//! The [`Engine`] trait and its implementation over HTTP.
 
 use std::{fmt, future::Future, net::SocketAddr, pin::Pin, sync::Arc, time::Duration};
 
@@ -12,52 +12,53 @@
 
 use crate::protocol::{Decode, Line, Prefill, Prefilled, Serve};
 
-/// Longest time for a prefill or a plain call.
+/// Timeout of a prefill or a plain call.
 const WORK_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest time for the import of a prefill result: longer ones are stalled.
+/// Timeout of the import of a KV cache.
 const IMPORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest silence between two tokens. The connection may have gone silent for good.
+/// Maximum time between two tokens. Detects connections that stay open but no longer deliver data.
 const TOKEN_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time for a cancel or an order.
+/// Timeout of a cancellation or a serve order, and of the end of a token stream.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Times a cancel is tried before the engine is taken for dead.
-const CANCELS: u32 = 3;
+/// Maximum number of attempts to cancel work.
+const CANCEL_ATTEMPTS: u32 = 3;
 
-/// Why an order to an engine was not carried out.
+/// Failure of a serve order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineError {
-    /// The engine has seen a higher fencing number.
+    /// The engine has received an order with a higher fencing number.
     Fenced,
-    /// It could not be reached, or answered with an error.
+    /// The engine could not be reached, or returned an error.
     Failed(String),
 }
 
 impl fmt::Display for EngineError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Fenced => f.write_str("engine has seen a newer order"),
-            Self::Failed(why) => write!(f, "order failed: {why}"),
+            Self::Fenced => f.write_str("engine has received a newer order"),
+            Self::Failed(reason) => write!(f, "request failed: {reason}"),
         }
     }
 }
 
 impl std::error::Error for EngineError {}
 
-/// Takes tokens as they come: first index and texts.
+/// Receiver of generated tokens.
 pub trait Sink: Send + Sync {
-    /// Takes one token; completes when there is room for the next.
+    /// Accepts the token at `index`; completes when the sink can accept the next one.
     fn token(&self, index: u32, text: Arc<str>) -> Pin<Box<dyn Future<Output = ()> + Send + '_>>;
 }
 
-/// Work on its way.
-pub type Working<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+/// Future returned by [`Engine`].
+pub type EngineFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// An engine or plain service as its agent drives it.
+/// An engine or plain service.
 pub trait Engine: Send + Sync {
     /// Runs a prefill.
-    fn prefill<'a>(&'a self, work: &'a Work, prompt: Arc<str>) -> Working<'a, Outcome>;
+    fn prefill<'a>(&'a self, work: &'a Work, prompt: Arc<str>) -> EngineFuture<'a, Outcome>;
 
-    /// Imports a result and streams its tokens into `sink`.
+    /// Imports the KV cache `kv` from the engine at `source` and streams tokens into `sink`, starting at
+    /// `from_index`.
     fn decode<'a>(
         &'a self,
         work: &'a Work,
@@ -65,19 +66,20 @@
         kv: Arc<str>,
         from_index: u32,
         sink: &'a dyn Sink,
-    ) -> Working<'a, Outcome>;
+    ) -> EngineFuture<'a, Outcome>;
 
-    /// Calls a plain service, exactly once.
-    fn call<'a>(&'a self, work: &'a Work, call: &'a Call) -> Working<'a, Outcome>;
+    /// Calls a plain service. Implementations must not retry.
+    fn call<'a>(&'a self, work: &'a Work, call: &'a Call) -> EngineFuture<'a, Outcome>;
 
-    /// Has the engine let go of an attempt's work and memory; completes when it has.
-    fn cancel<'a>(&'a self, id: &'a str) -> Working<'a, ()>;
+    /// Cancels work by its identifier and frees its memory. Completes when the engine has confirmed it, or
+    /// after a limited number of attempts.
+    fn cancel<'a>(&'a self, id: &'a str) -> EngineFuture<'a, ()>;
 
-    /// Orders another role or model.
-    fn serve<'a>(&'a self, endpoint: &'a Endpoint) -> Working<'a, Result<(), EngineError>>;
+    /// Orders the engine to change its role or model.
+    fn serve<'a>(&'a self, endpoint: &'a Endpoint) -> EngineFuture<'a, Result<(), EngineError>>;
 }
 
-/// An engine that speaks the protocol of `docs/protocol-engine.md`.
+/// Client for the HTTP protocol of `docs/protocol-engine.md`.
 #[derive(Debug)]
 pub struct HttpEngine {
     address: SocketAddr,
@@ -85,7 +87,7 @@
 }
 
 impl HttpEngine {
-    /// A client of the engine at `address`.
+    /// Creates a client of the engine at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, pool: Pool::default() }
     }
@@ -93,16 +95,16 @@
     async fn run_prefill(&self, work: &Work, prompt: Arc<str>) -> Outcome {
         let body = Prefill { id: work.attempt.to_string(), prompt, prompt_tokens: work.prompt_tokens };
         let call = client::Request::post("/prefill", &body).allow_reuse();
-        let answer = match self.pool.send(self.address, call, WORK_TIMEOUT).await {
-            Ok(answer) if answer.status() == 200 => answer.json::<Prefilled>().await,
+        let response = match self.pool.send(self.address, call, WORK_TIMEOUT).await {
+            Ok(response) if response.status() == 200 => response.json::<Prefilled>().await,
             Ok(_) => return Outcome::Failed(FailureCause::Failed),
             Err(error) => Err(error),
         };
-        match answer {
-            Ok(done) => Outcome::Prefilled {
+        match response {
+            Ok(prefilled) => Outcome::Prefilled {
                 source: self.address.to_string().into(),
-                kv: done.kv,
-                ttl: Duration::from_millis(done.lives_ms),
+                kv: prefilled.kv,
+                ttl: Duration::from_millis(prefilled.lives_ms),
             },
             Err(error) => Outcome::Failed(failure_cause(&error)),
         }
@@ -110,13 +112,13 @@
 
     async fn run_decode(&self, body: &Decode, sink: &dyn Sink) -> Result<Outcome, client::Error> {
         let call = client::Request::post("/decode", body).allow_reuse();
-        let mut answer = self.pool.send(self.address, call, IMPORT_TIMEOUT).await?;
-        if answer.status() != 200 {
+        let mut response = self.pool.send(self.address, call, IMPORT_TIMEOUT).await?;
+        if response.status() != 200 {
             return Ok(Outcome::Failed(FailureCause::Failed));
         }
         let mut limit = IMPORT_TIMEOUT;
         loop {
-            let line = timeout(limit, answer.line()).await.unwrap_or(Err(client::Error::Timeout))?;
+            let line = timeout(limit, response.line()).await.unwrap_or(Err(client::Error::Timeout))?;
             let Some(line) = line else {
                 return Ok(Outcome::Failed(FailureCause::Crashed));
             };
@@ -128,8 +130,8 @@
                 Line::Full => return Ok(Outcome::Failed(FailureCause::Failed)),
                 Line::Token { index, text } => sink.token(index, text).await,
                 Line::End { total } => {
-                    if timeout(CONTROL_TIMEOUT, answer.line()).await == Ok(Ok(None)) {
-                        answer.release();
+                    if timeout(CONTROL_TIMEOUT, response.line()).await == Ok(Ok(None)) {
+                        response.release();
                     }
                     return Ok(Outcome::Decoded { total });
                 }
@@ -148,12 +150,12 @@
         } else {
             request = request.header("idempotency-key", &*call.idempotency_key);
         }
-        let answer = match self.pool.send(self.address, request, WORK_TIMEOUT).await {
-            Ok(answer) => answer,
+        let response = match self.pool.send(self.address, request, WORK_TIMEOUT).await {
+            Ok(response) => response,
             Err(error) => return Outcome::Failed(failure_cause(&error)),
         };
-        let status = answer.status();
-        match answer.bytes().await {
+        let status = response.status();
+        match response.bytes().await {
             Ok(body) => Outcome::Answered { status, body },
             Err(error) => Outcome::Failed(failure_cause(&error)),
         }
@@ -169,7 +171,7 @@
 }
 
 impl Engine for HttpEngine {
-    fn prefill<'a>(&'a self, work: &'a Work, prompt: Arc<str>) -> Working<'a, Outcome> {
+    fn prefill<'a>(&'a self, work: &'a Work, prompt: Arc<str>) -> EngineFuture<'a, Outcome> {
         Box::pin(self.run_prefill(work, prompt))
     }
 
@@ -180,7 +182,7 @@
         kv: Arc<str>,
         from_index: u32,
         sink: &'a dyn Sink,
-    ) -> Working<'a, Outcome> {
+    ) -> EngineFuture<'a, Outcome> {
         let body = Decode {
             id: work.attempt.to_string(),
             source,
@@ -197,23 +199,23 @@
         })
     }
 
-    fn call<'a>(&'a self, work: &'a Work, call: &'a Call) -> Working<'a, Outcome> {
+    fn call<'a>(&'a self, work: &'a Work, call: &'a Call) -> EngineFuture<'a, Outcome> {
         Box::pin(self.run_call(work, call))
     }
 
-    fn cancel<'a>(&'a self, id: &'a str) -> Working<'a, ()> {
+    fn cancel<'a>(&'a self, id: &'a str) -> EngineFuture<'a, ()> {
         Box::pin(async move {
-            for _ in 0..CANCELS {
+            for _ in 0..CANCEL_ATTEMPTS {
                 let call = client::Request::delete(format!("/work/{id}"));
-                if let Ok(answer) = self.pool.send(self.address, call, CONTROL_TIMEOUT).await {
-                    answer.release();
+                if let Ok(response) = self.pool.send(self.address, call, CONTROL_TIMEOUT).await {
+                    response.release();
                     return;
                 }
             }
         })
     }
 
-    fn serve<'a>(&'a self, endpoint: &'a Endpoint) -> Working<'a, Result<(), EngineError>> {
+    fn serve<'a>(&'a self, endpoint: &'a Endpoint) -> EngineFuture<'a, Result<(), EngineError>> {
         let order = Serve {
             role: endpoint.role.to_string(),
             serves: endpoint.serves.clone(),
@@ -221,8 +223,8 @@
         };
         Box::pin(async move {
             let call = client::Request::post("/serve", &order).allow_reuse();
-            let answer = self.pool.send(self.address, call, CONTROL_TIMEOUT).await;
-            match answer.map(|answer| answer.status()) {
+            let response = self.pool.send(self.address, call, CONTROL_TIMEOUT).await;
+            match response.map(|response| response.status()) {
                 Ok(200..=299) => Ok(()),
                 Ok(409) => Err(EngineError::Fenced),
                 Ok(status) => Err(EngineError::Failed(format!("status {status}"))),
